--- a/src/connection/httpchannel.cpp
+++ b/src/connection/httpchannel.cpp
@@ -82,7 +82,7 @@
 std::unique_ptr<HttpCallHandle> Pool::start(const std::string& address, const HttpRequestHead& head,
                                             const std::string& body, ChannelOptions options,
                                             CallEvents events) {
-    most_kept_[address] = options.most_kept;
+    most_kept_[address] = options.max_idle_connections;
     ChannelPtr channel = options.fresh ? nullptr : take_kept(address);
     const bool kept = channel != nullptr;
     if (!kept) {
--- a/src/connection/httpchannel.h
+++ b/src/connection/httpchannel.h
@@ -64,7 +64,7 @@
     // repeated then has an unknown outcome, so it takes a connection of its own.
     bool fresh = false;
     // So many connections to this address may rest afterwards, this one among them.
-    std::size_t most_kept = 16;
+    std::size_t max_idle_connections = 16;
 };
 
 // Connections to endpoints over Asio, kept between calls. A connection that brought more bytes
--- a/src/connection/httpmessage.cpp
+++ b/src/connection/httpmessage.cpp
@@ -29,14 +29,14 @@
 
 } // namespace
 
-bool same_name(std::string_view a, std::string_view b) {
+bool equals_ignoring_case(std::string_view a, std::string_view b) {
     return a.size() == b.size() && std::equal(a.begin(), a.end(), b.begin(),
                                               [](char x, char y) { return lower(x) == lower(y); });
 }
 
 std::string_view find_header(const HttpHeaders& headers, std::string_view name) {
     for (const auto& [key, value] : headers)
-        if (same_name(key, name))
+        if (equals_ignoring_case(key, name))
             return value;
     return {};
 }
@@ -44,7 +44,7 @@
 bool has_token(std::string_view value, std::string_view token) {
     while (!value.empty()) {
         const auto comma = std::min(value.find(','), value.size());
-        if (same_name(trimmed(value.substr(0, comma)), token))
+        if (equals_ignoring_case(trimmed(value.substr(0, comma)), token))
             return true;
         value.remove_prefix(std::min(comma + 1, value.size()));
     }
@@ -54,7 +54,7 @@
 // The length belongs to this list too: whoever writes the next hop frames the body anew.
 bool is_hop_by_hop(std::string_view name) {
     return std::any_of(HopByHop.begin(), HopByHop.end(),
-                       [&](std::string_view hop) { return same_name(hop, name); });
+                       [&](std::string_view hop) { return equals_ignoring_case(hop, name); });
 }
 
 void append_headers(std::string& head, const HttpHeaders& headers) {
--- a/src/connection/httpmessage.h
+++ b/src/connection/httpmessage.h
@@ -12,7 +12,7 @@
 using HttpHeaders = std::vector<HttpHeader>;
 
 // ASCII comparison without regard to case, as header names need.
-bool same_name(std::string_view a, std::string_view b);
+bool equals_ignoring_case(std::string_view a, std::string_view b);
 
 // First value of a header; empty where it is missing.
 std::string_view find_header(const HttpHeaders& headers, std::string_view name);
--- a/src/connection/httpserver.cpp
+++ b/src/connection/httpserver.cpp
@@ -46,7 +46,7 @@
         return std::string(find_header(message_.headers, name));
     }
     Time received() const override { return received_; }
-    bool on_kept_connection() const override { return message_.on_kept_connection; }
+    bool on_reused_connection() const override { return message_.on_reused_connection; }
 
     void respond(int status, const HttpHeaders& headers, std::string body) override {
         if (std::exchange(done_, true))
@@ -73,7 +73,7 @@
         connection_->close();
     }
     std::optional<Time> left() const override { return connection_->left(); }
-    void on_gone(std::function<void()> gone) override { connection_->watch(std::move(gone)); }
+    void on_disconnect(std::function<void()> gone) override { connection_->watch(std::move(gone)); }
 
   private:
     ConnectionPtr connection_;
@@ -170,7 +170,7 @@
 
     void stop_accepting() override { listener_->stop_accepting(); }
     void close_after_answers() override { core_->closing = true; }
-    void close_resting() override {
+    void close_idle() override {
         for (const ConnectionPtr& connection : ServerConnections(core_->connections))
             if (connection->resting())
                 connection->close();
--- a/src/connection/httpserver.h
+++ b/src/connection/httpserver.h
@@ -33,7 +33,7 @@
     // When the whole request had arrived.
     virtual Time received() const = 0;
     // Whether an earlier request was answered on the same connection.
-    virtual bool on_kept_connection() const = 0;
+    virtual bool on_reused_connection() const = 0;
 
     // Whole answer at once.
     virtual void respond(int status, const HttpHeaders& headers, std::string body) = 0;
@@ -49,7 +49,7 @@
     // anything is sent on the caller's behalf.
     virtual std::optional<Time> left() const = 0;
     // Told once, when the caller's connection is gone.
-    virtual void on_gone(std::function<void()> gone) = 0;
+    virtual void on_disconnect(std::function<void()> gone) = 0;
 };
 
 using HttpHandler = std::function<void(std::shared_ptr<HttpExchange>)>;
@@ -67,7 +67,7 @@
 };
 
 // Whether other servers may listen on the same address.
-enum class AddressUse : std::uint8_t { Alone, Shared };
+enum class AddressUse : std::uint8_t { Exclusive, Shared };
 
 // HTTP/1.1 server on one io_context. Several servers that share an address, each with its own
 // thread, share the load through SO_REUSEPORT.
@@ -79,7 +79,7 @@
     virtual void close_after_answers() = 0;
     // Ends connections that rest between two requests. A new one, whose first request may be on its
     // way, is left, and so is one whose answer has not left yet.
-    virtual void close_resting() = 0;
+    virtual void close_idle() = 0;
     // Connections with a request that is being read or worked on, or an answer that has not left.
     virtual std::size_t busy() const = 0;
     // Takes effect for the next request of every connection.
@@ -90,7 +90,7 @@
 // Throws std::system_error where the address can not be had.
 std::unique_ptr<HttpServer> serve_http(asio::io_context& io, const std::string& address,
                                        const HttpServerLimits& limits, HttpHandler handler,
-                                       AddressUse use = AddressUse::Alone);
+                                       AddressUse use = AddressUse::Exclusive);
 
 } // namespace liftweir
 
--- a/src/connection/link.cpp
+++ b/src/connection/link.cpp
@@ -120,14 +120,15 @@
     });
 }
 
-EncodedWire::EncodedWire(const Wire& message) : kind_(message.index()), body_(encode(message)) {}
+EncodedMessage::EncodedMessage(const WireMessage& message)
+    : kind_(message.index()), body_(encode(message)) {}
 
-void Link::send(const Wire& message) {
+void Link::send(const WireMessage& message) {
     if (!closed_)
-        send(EncodedWire(message));
+        send(EncodedMessage(message));
 }
 
-void Link::send(const EncodedWire& message) {
+void Link::send(const EncodedMessage& message) {
     if (closed_)
         return;
     link_counters().messages_out.fetch_add(1, std::memory_order_relaxed);
@@ -237,7 +238,7 @@
         on_hello(body);
     } else if (!up_) {
         on_proof(body);
-    } else if (auto message = decode<Wire>(body)) {
+    } else if (auto message = decode<WireMessage>(body)) {
         link_counters().messages_in.fetch_add(1, std::memory_order_relaxed);
         on_message_(shared_from_this(), std::move(*message));
     } else {
@@ -353,11 +354,11 @@
     dial();
 }
 
-bool Dialer::send(const Wire& message) {
-    return up() && send(EncodedWire(message));
+bool Dialer::send(const WireMessage& message) {
+    return up() && send(EncodedMessage(message));
 }
 
-bool Dialer::send(const EncodedWire& message) {
+bool Dialer::send(const EncodedMessage& message) {
     if (!up())
         return false;
     link_->send(message);
@@ -406,7 +407,7 @@
             pause_ = FirstPause;
             on_up_(link);
         },
-        [this, alive = alive_](const Link::Ptr& link, Wire&& message) {
+        [this, alive = alive_](const Link::Ptr& link, WireMessage&& message) {
             if (*alive)
                 on_message_(link, std::move(message));
         },
@@ -432,7 +433,7 @@
     });
 }
 
-void Dialer::owe(Time now) {
+void Dialer::expect_reply(Time now) {
     if (up() && !owed_since_)
         owed_since_ = now;
 }
@@ -445,12 +446,12 @@
     return now - *owed_since_ > LateAnswerLimit && !link_->within_message();
 }
 
-void Dialer::end_if_silent(Time now) {
+void Dialer::close_if_unresponsive(Time now) {
     if (silent(now))
         link_->close();
 }
 
-void Dialer::hurry() {
+void Dialer::retry_now() {
     if (connecting_ && BootClock::now() - connecting_since_ > AnsweredConnect) {
         hurried_ = true;
         connecting_->close();
--- a/src/connection/link.h
+++ b/src/connection/link.h
@@ -38,17 +38,17 @@
     std::atomic<std::uint64_t> messages_out{0};
     std::atomic<std::uint64_t> refused{0}; // failed handshakes and undecodable frames
     std::atomic<std::uint64_t> queued{0};  // bytes that wait in the send queues of all links
-    std::array<std::atomic<std::uint64_t>, WireNames.size()> sent{}; // bytes by kind of message
+    std::array<std::atomic<std::uint64_t>, MessageNames.size()> sent{}; // bytes by kind of message
 };
 
 LinkCounters& link_counters();
 
 // A message as it is on the wire, encoded once for all links that it is sent over.
-class EncodedWire {
+class EncodedMessage {
   public:
-    explicit EncodedWire(const Wire& message);
+    explicit EncodedMessage(const WireMessage& message);
 
-    std::size_t kind() const { return kind_; } // place among the alternatives of Wire
+    std::size_t kind() const { return kind_; } // place among the alternatives of WireMessage
     const std::string& body() const { return body_; }
 
   private:
@@ -63,14 +63,14 @@
   public:
     using Ptr = std::shared_ptr<Link>;
     using OnUp = std::function<void(const Ptr&)>;
-    using OnMessage = std::function<void(const Ptr&, Wire&&)>;
+    using OnMessage = std::function<void(const Ptr&, WireMessage&&)>;
     using OnDown = std::function<void(const Ptr&)>;
 
     Link(asio::ip::tcp::socket socket, const Identity& self, const ClusterKeys& keys, bool dialed);
 
     void start(OnUp on_up, OnMessage on_message, OnDown on_down);
-    void send(const Wire& message);
-    void send(const EncodedWire& message);
+    void send(const WireMessage& message);
+    void send(const EncodedMessage& message);
     void close();
 
     bool up() const { return up_; }
@@ -155,20 +155,20 @@
     void start(Link::OnUp on_up, Link::OnMessage on_message, Link::OnDown on_down);
     bool up() const { return link_ && link_->up(); }
     // False where no link is up: the message was not sent and never will be.
-    bool send(const Wire& message);
-    bool send(const EncodedWire& message);
+    bool send(const WireMessage& message);
+    bool send(const EncodedMessage& message);
     // Bytes that wait to leave.
     std::size_t queued_bytes() const { return link_ ? link_->queued_bytes() : 0; }
     bool backed_up() const { return link_ && link_->backed_up(); }
     const std::string& address() const { return address_; }
     // The other side is known to be there: dials at once if it is waiting to, or if an attempt has
     // gone unanswered for longer than a sound one takes.
-    void hurry();
+    void retry_now();
     // The other side owes an answer from now on, if it does not already.
-    void owe(Time now);
+    void expect_reply(Time now);
     void answered() { owed_since_.reset(); }
     // Ends the link, to dial anew, where an answer has been owed for too long.
-    void end_if_silent(Time now);
+    void close_if_unresponsive(Time now);
 
   private:
     bool silent(Time now) const;
--- a/src/connection/secret.cpp
+++ b/src/connection/secret.cpp
@@ -41,11 +41,11 @@
     });
 }
 
-std::string ClusterKeys::seal(std::string_view body) const {
+std::string ClusterKeys::append_mac(std::string_view body) const {
     return std::string(body) + sign(body).substr(0, ShortMacBytes);
 }
 
-std::string_view ClusterKeys::unseal(std::string_view datagram) const {
+std::string_view ClusterKeys::strip_mac(std::string_view datagram) const {
     if (datagram.size() <= ShortMacBytes)
         return {};
     const auto body = datagram.substr(0, datagram.size() - ShortMacBytes);
--- a/src/connection/secret.h
+++ b/src/connection/secret.h
@@ -25,8 +25,8 @@
     std::string sign(std::string_view text) const;
     bool verify(std::string_view text, std::string_view mac) const;
     // Appends a shortened MAC to a datagram, and takes it off again. Empty where it is wrong.
-    std::string seal(std::string_view body) const;
-    std::string_view unseal(std::string_view datagram) const;
+    std::string append_mac(std::string_view body) const;
+    std::string_view strip_mac(std::string_view datagram) const;
 
   private:
     std::vector<std::string> keys_;
--- a/src/connection/serverconnection.cpp
+++ b/src/connection/serverconnection.cpp
@@ -71,9 +71,9 @@
     std::size_t lengths = 0;
     std::size_t encodings = 0;
     for (const auto& [name, value] : message_.headers) {
-        hosts += same_name(name, "host") ? 1 : 0;
-        lengths += same_name(name, "content-length") ? 1 : 0;
-        encodings += same_name(name, "transfer-encoding") ? 1 : 0;
+        hosts += equals_ignoring_case(name, "host") ? 1 : 0;
+        lengths += equals_ignoring_case(name, "content-length") ? 1 : 0;
+        encodings += equals_ignoring_case(name, "transfer-encoding") ? 1 : 0;
     }
     const bool ambiguous = lengths > 1 || encodings > 1 || (lengths > 0 && encodings > 0);
     const bool host_missing = hosts != 1 && parser_.http_minor >= 1;
@@ -189,7 +189,7 @@
     }
     complete_ = false;
     close_after_ = !message_.keep_alive;
-    message_.on_kept_connection = std::exchange(kept_, true);
+    message_.on_reused_connection = std::exchange(kept_, true);
     set_phase(Phase::Working, Time::max());
     core_->on_request(shared_from_this(), std::exchange(message_, RequestMessage{}));
 }
--- a/src/connection/serverconnection.h
+++ b/src/connection/serverconnection.h
@@ -27,7 +27,7 @@
     HttpHeaders headers;
     std::string body;
     bool keep_alive = true;
-    bool on_kept_connection = false; // an earlier request was answered on it
+    bool on_reused_connection = false; // an earlier request was answered on it
 };
 
 class ServerConnection;
--- a/src/connection/wire.h
+++ b/src/connection/wire.h
@@ -1,7 +1,7 @@
 #ifndef WIRE_H_INCLUDED
 #define WIRE_H_INCLUDED
 
-#include "process/limitlender.h"
+#include "process/limitallocator.h"
 #include "process/quarantine.h"
 #include "process/raft.h"
 #include "process/registry.h"
@@ -82,7 +82,7 @@
 
 // ---- entry to control
 
-struct Renew {
+struct LeaseRenewal {
     std::string entry;
     Incarnation incarnation = 0;
     std::uint64_t sequence = 0;
@@ -97,9 +97,9 @@
 };
 
 // One control host's word that its log holds no lease-relevant command above `logged`.
-struct Vouch {
+struct LeaseAck {
     NodeId node = NoNode;
-    std::uint64_t sequence = 0; // of the Renew; 0 for an unasked push
+    std::uint64_t sequence = 0; // of the LeaseRenewal; 0 for an unasked push
     Version logged = 0;
     Version table = 0;
     Voters voters;
@@ -151,15 +151,16 @@
     std::uint32_t shed_order = 50;
     std::string traffic_class;
     bool early_refusal = true;
-    std::uint32_t resume_tokens = 0; // tokens that the caller already has
-    std::uint32_t window = 0;        // bytes that may be in flight towards the entry host
-    std::uint32_t tokens_hint = 0;   // expected length of the answer, 0 where unknown
-    std::uint32_t slots = 0;         // calls in flight at a plain service
+    std::uint32_t resume_tokens = 0;   // tokens that the caller already has
+    std::uint32_t window = 0;          // bytes that may be in flight towards the entry host
+    std::uint32_t expected_tokens = 0; // expected length of the answer, 0 where unknown
+    std::uint32_t slots = 0;           // calls in flight at a plain service
     bool repeatable = false;
     bool streamed = false; // the answer is a stream of server-sent events
     MSGPACK_DEFINE(id, host, incarnation, epoch, customer, method, path, content_type, body,
                    adapter, deadline_ms, class_weight, customer_weight, shed_order, traffic_class,
-                   early_refusal, resume_tokens, window, tokens_hint, slots, repeatable, streamed)
+                   early_refusal, resume_tokens, window, expected_tokens, slots, repeatable,
+                   streamed)
 };
 
 struct CancelAttempt {
@@ -286,17 +287,17 @@
 
 // Endpoints that a control host knew before it lost power. Only for an entry host that has just
 // begun; what endpoints say since then goes first.
-struct EndpointsRemembered {
+struct EndpointsRestored {
     std::vector<EndpointReport> reports;
     MSGPACK_DEFINE(reports)
 };
 
 // What an entry host has under way at groups; from control, what the other entry hosts have.
-struct GroupShares {
-    std::string entry;          // who tells; empty from control
-    std::uint32_t every_ms = 0; // from control: how often the host is to tell, and is told
-    std::vector<GroupShare> shares;
-    MSGPACK_DEFINE(entry, every_ms, shares)
+struct GroupLoadReports {
+    std::string entry;             // who tells; empty from control
+    std::uint32_t interval_ms = 0; // from control: how often the host is to tell, and is told
+    std::vector<GroupLoadReport> shares;
+    MSGPACK_DEFINE(entry, interval_ms, shares)
 };
 
 // Digests of the sender's registry by range of names, where the receiver's differs.
@@ -306,37 +307,37 @@
 };
 
 // The receiver's reports of these ranges are wanted.
-struct RangesWanted {
+struct RangesRequested {
     std::vector<std::uint32_t> ranges;
     MSGPACK_DEFINE(ranges)
 };
 
 // An endpoint broke these requests off. From who saw it, and from one control host to another.
-struct RequestsCutOff {
+struct RequestsAborted {
     EndpointId endpoint;
-    std::vector<CutOff> requests;
+    std::vector<AbortedRequest> requests;
     MSGPACK_DEFINE(endpoint, requests)
 };
 
 // What the sender knows of requests that end endpoints, and which ones were answered after all.
-struct Suspicions {
-    std::vector<Suspicion> known;
+struct SuspectRequests {
+    std::vector<SuspectRequest> known;
     std::vector<Fingerprint> cleared;
     MSGPACK_DEFINE(known, cleared)
 };
 
 // What endpoints say of the requests a second that they take. From who was told, and from control.
-struct LimitWords {
-    std::vector<LimitWord> words;
-    MSGPACK_DEFINE(words)
+struct LimitReports {
+    std::vector<LimitReport> reports;
+    MSGPACK_DEFINE(reports)
 };
 
 // The control host that leads lends parts of the limits to an entry host. They count from when the
-// Renew of this sequence left.
-struct LimitLoans {
+// LeaseRenewal of this sequence left.
+struct LimitShares {
     std::uint64_t sequence = 0;
-    std::vector<LimitLoan> loans;
-    MSGPACK_DEFINE(sequence, loans)
+    std::vector<LimitShare> limit_shares;
+    MSGPACK_DEFINE(sequence, limit_shares)
 };
 
 // Endpoints that have announced in their answers that they leave. From who was told, and from
@@ -346,46 +347,48 @@
     MSGPACK_DEFINE(ids)
 };
 
-using Wire =
-    std::variant<RaftPacket, AgentStatus, AgentOrder, NotLeaderReply, Renew, Vouch, CommandRequest,
-                 CommandReply, Attempt, CancelAttempt, Credit, GateState, Refused, Head, Chunk, End,
-                 Broken, PeerHello, EndpointChanges, EndpointsAlive, DocumentPush, GroupSuspected,
-                 GroupsDissolved, EndpointsRemembered, GroupShares, RegistryDigests, RangesWanted,
-                 RequestsCutOff, Suspicions, LimitWords, LimitLoans, EndpointsLeaving>;
+using WireMessage =
+    std::variant<RaftPacket, AgentStatus, AgentOrder, NotLeaderReply, LeaseRenewal, LeaseAck,
+                 CommandRequest, CommandReply, Attempt, CancelAttempt, Credit, GateState, Refused,
+                 Head, Chunk, End, Broken, PeerHello, EndpointChanges, EndpointsAlive, DocumentPush,
+                 GroupSuspected, GroupsDissolved, EndpointsRestored, GroupLoadReports,
+                 RegistryDigests, RangesRequested, RequestsAborted, SuspectRequests, LimitReports,
+                 LimitShares, EndpointsLeaving>;
 
 // Names of the alternatives, in their order, for metrics.
-constexpr std::array<std::string_view, std::variant_size_v<Wire>> WireNames = {"raft",
-                                                                               "agent_status",
-                                                                               "agent_order",
-                                                                               "not_leader",
-                                                                               "renew",
-                                                                               "vouch",
-                                                                               "command_request",
-                                                                               "command_reply",
-                                                                               "attempt",
-                                                                               "cancel",
-                                                                               "credit",
-                                                                               "gate_state",
-                                                                               "refused",
-                                                                               "head",
-                                                                               "chunk",
-                                                                               "end",
-                                                                               "broken",
-                                                                               "peer_hello",
-                                                                               "changes",
-                                                                               "alive",
-                                                                               "document",
-                                                                               "group_suspected",
-                                                                               "groups_dissolved",
-                                                                               "remembered",
-                                                                               "group_shares",
-                                                                               "registry_digests",
-                                                                               "ranges_wanted",
-                                                                               "requests_cut_off",
-                                                                               "suspicions",
-                                                                               "limit_words",
-                                                                               "limit_loans",
-                                                                               "leaving"};
+constexpr std::array<std::string_view, std::variant_size_v<WireMessage>> MessageNames = {
+    "raft",
+    "agent_status",
+    "agent_order",
+    "not_leader",
+    "renew",
+    "vouch",
+    "command_request",
+    "command_reply",
+    "attempt",
+    "cancel",
+    "credit",
+    "gate_state",
+    "refused",
+    "head",
+    "chunk",
+    "end",
+    "broken",
+    "peer_hello",
+    "changes",
+    "alive",
+    "document",
+    "group_suspected",
+    "groups_dissolved",
+    "remembered",
+    "group_shares",
+    "registry_digests",
+    "ranges_wanted",
+    "requests_cut_off",
+    "suspicions",
+    "limit_words",
+    "limit_loans",
+    "leaving"};
 
 // ---- member to member, by UDP
 
@@ -399,14 +402,14 @@
     MSGPACK_DEFINE(epoch, sequence, from, to)
 };
 
-struct Echo {
+struct PingReply {
     Epoch epoch = NoEpoch;
     std::uint64_t sequence = 0;
     Incarnation from = 0;
     MSGPACK_DEFINE(epoch, sequence, from)
 };
 
-using Datagram = std::variant<Ping, Echo>;
+using Datagram = std::variant<Ping, PingReply>;
 
 } // namespace liftweir
 
--- a/src/control_main.cpp
+++ b/src/control_main.cpp
@@ -6,7 +6,7 @@
 
 int main(int argc, const char** argv) {
     int exit_code = ExitOk;
-    const auto config = program_config(Program::Control, argc, argv, exit_code);
+    const auto config = read_program_config(Program::Control, argc, argv, exit_code);
     if (!config)
         return exit_code;
     asio::io_context io;
--- a/src/process/agent.cpp
+++ b/src/process/agent.cpp
@@ -75,7 +75,7 @@
             entries_.insert(link);
             link->send(gate_state());
         },
-        [this](const Link::Ptr& link, Wire&& m) { on_entry_message(link, std::move(m)); },
+        [this](const Link::Ptr& link, WireMessage&& m) { on_entry_message(link, std::move(m)); },
         [this](const Link::Ptr& link) { on_entry_down(link); });
     http_ = serve_http(
         io_, config_.http, HttpServerLimits{.body_bytes = 4096, .connections = 64},
@@ -93,7 +93,7 @@
                 if (index == current_)
                     report_due_ = {};
             },
-            [this, index](const Link::Ptr&, Wire&& m) { on_control(index, std::move(m)); },
+            [this, index](const Link::Ptr&, WireMessage&& m) { on_control(index, std::move(m)); },
             [](const Link::Ptr&) {});
     }
     Metrics::instance().gauge("liftweir_in_flight",
@@ -237,7 +237,7 @@
     control_[current_]->send(status());
 }
 
-void Agent::on_control(std::size_t index, Wire&& message) {
+void Agent::on_control(std::size_t index, WireMessage&& message) {
     if (const auto* elsewhere = std::get_if<NotLeaderReply>(&message)) {
         const auto leader =
             std::find(control_nodes_.begin(), control_nodes_.end(), elsewhere->leader);
@@ -353,7 +353,7 @@
     const auto to = parse_address(address);
     if (!to)
         return;
-    const std::string sealed = keys_.seal(encode(datagram));
+    const std::string sealed = keys_.append_mac(encode(datagram));
     asio::error_code ignored;
     ping_socket_.send_to(asio::buffer(sealed), {to->address(), to->port()}, 0, ignored);
     link_counters().bytes_out.fetch_add(sealed.size(), std::memory_order_relaxed);
@@ -366,7 +366,7 @@
             if (error == asio::error::operation_aborted)
                 return;
             link_counters().bytes_in.fetch_add(bytes, std::memory_order_relaxed);
-            const auto body = keys_.unseal(std::string_view(ping_buffer_).substr(0, bytes));
+            const auto body = keys_.strip_mac(std::string_view(ping_buffer_).substr(0, bytes));
             const auto datagram = decode<Datagram>(body);
             if (!error && datagram && gate_) {
                 if (const auto* ping = std::get_if<Ping>(&*datagram)) {
@@ -375,7 +375,7 @@
                                           std::to_string(ping_sender_.port()),
                                       *echo);
                 } else {
-                    gate_->on_echo(std::get<Echo>(*datagram), BootClock::now());
+                    gate_->on_ping_reply(std::get<PingReply>(*datagram), BootClock::now());
                 }
             }
             receive_datagram();
--- a/src/process/agent.h
+++ b/src/process/agent.h
@@ -62,7 +62,7 @@
 
     // control
     void report();
-    void on_control(std::size_t index, Wire&& message);
+    void on_control(std::size_t index, WireMessage&& message);
     void on_order(const AgentOrder& order);
     void hold(const Assignment& assignment);
     void load(Epoch epoch);
@@ -83,7 +83,7 @@
     void send_datagram(const std::string& address, const Datagram& datagram);
 
     // entry hosts
-    void on_entry_message(const Link::Ptr& link, Wire&& message);
+    void on_entry_message(const Link::Ptr& link, WireMessage&& message);
     void on_entry_down(const Link::Ptr& link);
     void on_attempt(const Link::Ptr& link, Attempt&& attempt);
     std::optional<FailureKind> refusal(const Attempt& attempt) const;
--- a/src/process/agentloss.cpp
+++ b/src/process/agentloss.cpp
@@ -76,7 +76,7 @@
         if (!work.running)
             return false;
         endpoint_->cancel(work.call, item.first);
-        queue_.finished(now - work.started, std::max<double>(1, work.attempt.tokens_hint));
+        queue_.finished(now - work.started, std::max<double>(1, work.attempt.expected_tokens));
         lost.push_back({item.first, work.link, work.started});
         return true;
     });
--- a/src/process/agentwork.cpp
+++ b/src/process/agentwork.cpp
@@ -14,7 +14,7 @@
 
 // Expected work of an attempt, in tokens where it says how many.
 double cost_of(const Attempt& attempt) {
-    return std::max(1.0, static_cast<double>(attempt.tokens_hint));
+    return std::max(1.0, static_cast<double>(attempt.expected_tokens));
 }
 
 } // namespace
@@ -42,7 +42,7 @@
         link->send(gate_state());
 }
 
-void Agent::on_entry_message(const Link::Ptr& link, Wire&& message) {
+void Agent::on_entry_message(const Link::Ptr& link, WireMessage&& message) {
     if (link->peer().role != ProcessRole::Entry)
         return;
     if (auto* attempt = std::get_if<Attempt>(&message))
--- a/src/process/control.cpp
+++ b/src/process/control.cpp
@@ -58,14 +58,15 @@
 
 void Control::start() {
     listener_ = std::make_unique<LinkListener>(io_, config_.listen, identity_, keys_);
-    listener_->start([](const Link::Ptr&) {},
-                     [this](const Link::Ptr& link, Wire&& m) { on_message(link, std::move(m)); },
-                     [this](const Link::Ptr& link) { on_down(link); });
+    listener_->start(
+        [](const Link::Ptr&) {},
+        [this](const Link::Ptr& link, WireMessage&& m) { on_message(link, std::move(m)); },
+        [this](const Link::Ptr& link) { on_down(link); });
     for (const auto& [node, address] : config_.control) {
         if (node == config_.node)
             continue;
         auto dialer = std::make_unique<Dialer>(io_, address, identity_, keys_);
-        dialer->start([](const Link::Ptr&) {}, [](const Link::Ptr&, Wire&&) {},
+        dialer->start([](const Link::Ptr&) {}, [](const Link::Ptr&, WireMessage&&) {},
                       [](const Link::Ptr&) {});
         peers_.emplace(node, std::move(dialer));
     }
@@ -278,9 +279,9 @@
     for (auto& [name, session] : entries_) {
         if (!session.link || !session.renew.want_delta)
             continue;
-        Renew known = session.renew;
+        LeaseRenewal known = session.renew;
         known.sequence = 0;
-        session.link->send(make_vouch(known));
+        session.link->send(make_lease_ack(known));
         session.renew.table = state.table_version();
         session.renew.lease = state.lease_version();
     }
@@ -308,7 +309,7 @@
     }
 }
 
-void Control::on_message(const Link::Ptr& link, Wire&& message) {
+void Control::on_message(const Link::Ptr& link, WireMessage&& message) {
     if (auto* packet = std::get_if<RaftPacket>(&message)) {
         const auto body = decode<RaftMessage>(packet->body);
         if (!body || link->peer().role != ProcessRole::Control)
@@ -317,7 +318,7 @@
         pump_soon();
     } else if (const auto* status = std::get_if<AgentStatus>(&message)) {
         on_agent_status(link, *status);
-    } else if (const auto* renew = std::get_if<Renew>(&message)) {
+    } else if (const auto* renew = std::get_if<LeaseRenewal>(&message)) {
         on_renew(link, *renew);
     } else if (const auto* request = std::get_if<CommandRequest>(&message)) {
         on_command(link, *request);
@@ -395,28 +396,28 @@
     return order;
 }
 
-Vouch Control::make_vouch(const Renew& renew) const {
+LeaseAck Control::make_lease_ack(const LeaseRenewal& renew) const {
     const State& state = replica_->state();
-    Vouch vouch;
-    vouch.node = config_.node;
-    vouch.sequence = renew.sequence;
-    vouch.logged = replica_->logged_lease_version();
-    vouch.table = state.table_version();
-    vouch.voters = replica_->raft().voters();
-    vouch.voters_index = replica_->raft().voters_index();
-    vouch.leader = replica_->raft().leader();
+    LeaseAck lease_ack;
+    lease_ack.node = config_.node;
+    lease_ack.sequence = renew.sequence;
+    lease_ack.logged = replica_->logged_lease_version();
+    lease_ack.table = state.table_version();
+    lease_ack.voters = replica_->raft().voters();
+    lease_ack.voters_index = replica_->raft().voters_index();
+    lease_ack.leader = replica_->raft().leader();
     const auto entry = state.entries().find(renew.entry);
-    vouch.registered =
+    lease_ack.registered =
         entry != state.entries().end() && entry->second.incarnation == renew.incarnation;
-    vouch.has_delta = renew.want_delta &&
-                      (renew.table < state.table_version() || renew.lease < state.lease_version());
-    if (vouch.has_delta)
-        vouch.delta = state.delta_since(renew.table, renew.lease);
-    return vouch;
+    lease_ack.has_delta = renew.want_delta && (renew.table < state.table_version() ||
+                                               renew.lease < state.lease_version());
+    if (lease_ack.has_delta)
+        lease_ack.delta = state.delta_since(renew.table, renew.lease);
+    return lease_ack;
 }
 
 // Every control host vouches, leading or not: an entry host needs a majority, not a leader.
-void Control::on_renew(const Link::Ptr& link, const Renew& renew) {
+void Control::on_renew(const Link::Ptr& link, const LeaseRenewal& renew) {
     if (link->peer().role != ProcessRole::Entry || link->peer().name != renew.entry)
         return;
     EntrySession& session = entries_[renew.entry];
@@ -424,7 +425,7 @@
     session.renew = renew;
     session.heard = now();
     in_force_.acknowledged(renew.entry, renew.lease);
-    link->send(make_vouch(renew));
+    link->send(make_lease_ack(renew));
     if (renew.want_delta) {
         session.renew.table = std::max(renew.table, replica_->state().table_version());
         session.renew.lease = std::max(renew.lease, replica_->state().lease_version());
--- a/src/process/control.h
+++ b/src/process/control.h
@@ -4,9 +4,9 @@
 #include "connection/httpserver.h"
 #include "connection/link.h"
 #include "process/config.h"
-#include "process/inforce.h"
 #include "process/placement.h"
 #include "process/replica.h"
+#include "process/settingsrollout.h"
 #include "process/ticker.h"
 
 #include <map>
@@ -31,7 +31,7 @@
 
     // For the administration interface.
     Replica& replica() { return *replica_; }
-    const Planner& planner() const { return planner_; }
+    const PlacementPlanner& planner() const { return planner_; }
     const ProcessConfig& config() const { return config_; }
     const Identity& identity() const { return identity_; }
     const ClusterKeys& keys() const { return keys_; }
@@ -59,12 +59,12 @@
     void push_tables();
     void push_orders();
 
-    void on_message(const Link::Ptr& link, Wire&& message);
+    void on_message(const Link::Ptr& link, WireMessage&& message);
     void on_down(const Link::Ptr& link);
     void on_agent_status(const Link::Ptr& link, const AgentStatus& status);
-    void on_renew(const Link::Ptr& link, const Renew& renew);
+    void on_renew(const Link::Ptr& link, const LeaseRenewal& renew);
     void on_command(const Link::Ptr& link, const CommandRequest& request);
-    Vouch make_vouch(const Renew& renew) const;
+    LeaseAck make_lease_ack(const LeaseRenewal& renew) const;
     AgentOrder order_for(const Host& host, const AgentStatus& status) const;
 
     struct AgentSession {
@@ -74,7 +74,7 @@
     };
     struct EntrySession {
         Link::Ptr link;
-        Renew renew;
+        LeaseRenewal renew;
         Time heard{};
     };
 
@@ -84,8 +84,8 @@
     ClusterKeys keys_;
     std::unique_ptr<Storage> storage_;
     std::unique_ptr<Replica> replica_;
-    Planner planner_;
-    InForce in_force_;
+    PlacementPlanner planner_;
+    SettingsRollout in_force_;
     std::unique_ptr<LinkListener> listener_;
     std::unique_ptr<HttpServer> http_;
     std::map<NodeId, std::unique_ptr<Dialer>> peers_;
--- a/src/process/coordinator.cpp
+++ b/src/process/coordinator.cpp
@@ -30,14 +30,14 @@
 
 } // namespace
 
-Coordinator::Coordinator(asio::io_context& io, FleetConfig config, EndpointOrders& orders,
+Coordinator::Coordinator(asio::io_context& io, SiteConfig config, EndpointOrders& orders,
                          DocumentDecoder decode)
     : io_(io),
       config_(std::move(config)),
       orders_(orders),
       decode_(std::move(decode)),
       identity_{ProcessRole::Control, config_.name, new_incarnation()},
-      keeper_(2 * config_.tolerated_hosts + 1),
+      voter_selector_(2 * config_.tolerated_hosts + 1),
       groups_({config_.bounds.beat, config_.bounds.load_window}, config_.first_start),
       planning_(io, [this] { plan(); }),
       telling_(io, [this] { send_changes(); }),
@@ -46,7 +46,7 @@
 Coordinator::~Coordinator() = default;
 
 Expected<std::unique_ptr<Coordinator>> Coordinator::open(asio::io_context& io,
-                                                         const FleetConfig& config,
+                                                         const SiteConfig& config,
                                                          EndpointOrders& orders,
                                                          DocumentDecoder decode) {
     auto storage = open_folder(config.data);
@@ -57,8 +57,8 @@
     coordinator->storage_ = std::move(*storage);
     if (auto opened = coordinator->open_replica(); !opened)
         coordinator->storage_failed(opened.error());
-    coordinator->roster_ = std::make_unique<RosterFile>(coordinator->storage_);
-    coordinator->remembered_ = coordinator->roster_->load();
+    coordinator->endpoint_cache_ = std::make_unique<EndpointCacheFile>(coordinator->storage_);
+    coordinator->remembered_ = coordinator->endpoint_cache_->load();
     coordinator->started_ = BootClock::now();
     log(LogLevel::Info, "endpoints known before the start",
         {{"count", std::to_string(coordinator->remembered_.size())}});
@@ -135,9 +135,10 @@
 
 void Coordinator::start() {
     listener_ = std::make_unique<LinkListener>(io_, config_.link_address(), identity_, keys_);
-    listener_->start([](const Link::Ptr&) {},
-                     [this](const Link::Ptr& link, Wire&& m) { on_message(link, std::move(m)); },
-                     [this](const Link::Ptr& link) { on_down(link); });
+    listener_->start(
+        [](const Link::Ptr&) {},
+        [this](const Link::Ptr& link, WireMessage&& m) { on_message(link, std::move(m)); },
+        [this](const Link::Ptr& link) { on_down(link); });
     reconfigure(config_);
     gauges_.add("liftweir_endpoints",
                 [this] { return static_cast<double>(registry_.items().size()); });
@@ -151,7 +152,7 @@
 }
 
 // Only the seeds may change while a process runs.
-void Coordinator::reconfigure(const FleetConfig& config) {
+void Coordinator::reconfigure(const SiteConfig& config) {
     config_.seeds = config.seeds;
     for (const std::string& ip : config_.seed_ips())
         if (ip != config_.ip)
@@ -187,7 +188,7 @@
     registry_.expire(now);
     quarantine_.expire(now);
     forget_answers(now);
-    lender_.expire(now);
+    allocator_.expire(now);
     keep_quarantine();
     keep_roster(now);
     if (replica_)
@@ -217,7 +218,7 @@
              {"match", std::to_string(view->match)},
              {"commit", std::to_string(raft.commit())},
              {"queued_bytes", std::to_string(peer.dialer->queued_bytes())},
-             {"heard_ms_ago", std::to_string(to_millis(BootClock::now() - view->heard))}});
+             {"heard_ms_ago", std::to_string(to_millis(BootClock::now() - view->last_contact))}});
     }
 }
 
@@ -278,11 +279,12 @@
     proposed_document_ = 0;
     log(LogLevel::Info, leads ? "leads" : "leads no more",
         {{"term", std::to_string(replica_->raft().term())}, {"node", text_of(node_)}});
-    const bool several_before = leads_since_ - last_term_began_ < config_.bounds.load_window;
+    const bool several_recent_leaders =
+        leads_since_ - last_term_began_ < config_.bounds.load_window;
     if (leads)
-        lender_.take_over(leads_since_);
+        allocator_.take_over(leads_since_);
     if (leads)
-        groups_.take_over({known_term_, leads_since_, several_before}, replica_->state());
+        groups_.take_over({known_term_, leads_since_, several_recent_leaders}, replica_->state());
     else
         groups_.step_down();
 }
@@ -306,7 +308,7 @@
     std::vector<NodeView> views;
     for (const NodeId node : nodes)
         if (const auto peer = raft.peer(node))
-            views.push_back({node, peer->match >= raft.commit(), now - peer->heard});
+            views.push_back({node, peer->match >= raft.commit(), now - peer->last_contact});
     return views;
 }
 
@@ -318,7 +320,7 @@
     Voters known = learners();
     raft.set_learners(known);
     known.insert(raft.voters().begin(), raft.voters().end());
-    const auto next = keeper_.next(node_, raft.voters(), views_of(std::move(known)));
+    const auto next = voter_selector_.next(node_, raft.voters(), views_of(std::move(known)));
     if (!next)
         return;
     const auto proposed = raft.propose_voters(*next);
@@ -340,7 +342,7 @@
     const Raft& raft = replica_->raft();
     const std::size_t copies = raft.synced_copies(document.index);
     const std::size_t needed = config_.tolerated_hosts + 1;
-    if (copies >= needed && raft.voters().size() >= keeper_.target())
+    if (copies >= needed && raft.voters().size() >= voter_selector_.target())
         return true;
     return BootClock::now() - leads_since_ > FewVotersPatience &&
            copies >= std::min(needed, raft.voters().size());
@@ -437,7 +439,7 @@
     for (auto& [name, session] : entries_)
         if (session.link)
             push_document_to(session);
-    send_to_entries(make_vouch(0));
+    send_to_entries(make_lease_ack(0));
 }
 
 // Once over each link: what was sent arrives, or the link ends, and an entry host that lacks the
--- a/src/process/coordinator.h
+++ b/src/process/coordinator.h
@@ -2,19 +2,19 @@
 #define COORDINATOR_H_INCLUDED
 
 #include "connection/link.h"
-#include "process/fleetconfig.h"
-#include "process/groupleader.h"
-#include "process/limitbook.h"
-#include "process/limitlender.h"
+#include "process/endpointcachefile.h"
+#include "process/groupcontroller.h"
+#include "process/limitallocator.h"
 #include "process/metrics.h"
-#include "process/pacedwork.h"
 #include "process/quarantine.h"
 #include "process/registry.h"
 #include "process/registryrepair.h"
-#include "process/rosterfile.h"
+#include "process/reportedlimits.h"
+#include "process/siteconfig.h"
+#include "process/throttledwork.h"
 #include "process/ticker.h"
-#include "process/voterkeeper.h"
-#include "request/workboard.h"
+#include "process/voterselector.h"
+#include "request/entryloadtable.h"
 #include "version/deployment.h"
 
 #include <functional>
@@ -49,14 +49,14 @@
 
     // Fails with Storage where the data folder can not be opened at all.
     static Expected<std::unique_ptr<Coordinator>> open(asio::io_context& io,
-                                                       const FleetConfig& config,
+                                                       const SiteConfig& config,
                                                        EndpointOrders& orders,
                                                        DocumentDecoder decode);
     ~Coordinator();
 
     void start();
     // The settings file has changed.
-    void reconfigure(const FleetConfig& config);
+    void reconfigure(const SiteConfig& config);
 
     // Answers the operators' calls that wait, and takes no more: another host may lead soon.
     void leave();
@@ -78,7 +78,7 @@
     void refused(const std::string& name, ReportFault fault);
 
   private:
-    Coordinator(asio::io_context& io, FleetConfig config, EndpointOrders& orders,
+    Coordinator(asio::io_context& io, SiteConfig config, EndpointOrders& orders,
                 DocumentDecoder decode);
 
     // An entry host that has not renewed for so long is out of touch and not counted.
@@ -90,7 +90,7 @@
     // An entry host that renews here.
     struct EntrySession {
         Link::Ptr link;
-        Renew renew;
+        LeaseRenewal renew;
         Time heard{};
         Time digests_due{}; // told again how this host's registry differs
         Version pushed = 0; // index of the last document that was sent over the link
@@ -131,8 +131,8 @@
     bool durable(const StoredDocument& document) const;
     void document_applied();
     void push_document();
-    void send_to_entries(const Wire& message);
-    void send_to_peers(const Wire& message);
+    void send_to_entries(const WireMessage& message);
+    void send_to_peers(const WireMessage& message);
     void push_document_to(EntrySession& session);
 
     // links
@@ -140,13 +140,13 @@
     void learn(NodeId node);
     void greet(Peer& peer);
     void greet_all();
-    void on_message(const Link::Ptr& link, Wire&& message);
+    void on_message(const Link::Ptr& link, WireMessage&& message);
     void on_raft(const Link::Ptr& link, const RaftPacket& packet, Time now);
     void on_suspected(const GroupSuspected& suspected, Time now);
     void on_down(const Link::Ptr& link);
     void on_hello(const PeerHello& hello);
-    void on_renew(const Link::Ptr& link, const Renew& renew);
-    Vouch make_vouch(std::uint64_t sequence) const;
+    void on_renew(const Link::Ptr& link, const LeaseRenewal& renew);
+    LeaseAck make_lease_ack(std::uint64_t sequence) const;
     std::vector<NodeId> known_nodes() const;
 
     // registrations
@@ -163,36 +163,36 @@
     bool settled(Time now) const;
     void keep_roster(Time now);
     void on_digests(const Link::Ptr& link, const RegistryDigests& digests, Time now);
-    void send_ranges(const Link::Ptr& link, const RangesWanted& wanted, Time now) const;
+    void send_ranges(const Link::Ptr& link, const RangesRequested& wanted, Time now) const;
 
     // groups
     void plan();
     void plan_soon();
-    void probe(const GroupLeader::Probe& asked, Time now);
+    void probe(const GroupController::Probe& asked, Time now);
     void tell_dissolved(const Link::Ptr& only);
     void send_orders();
     void give(const OrderQueue::Item& item);
 
     // requests that end endpoints
-    void on_cut_off(const Link::Ptr& link, const RequestsCutOff& cut_off, Time now);
-    void on_suspicions(const Link::Ptr& link, const Suspicions& told, Time now);
+    void on_aborted(const Link::Ptr& link, const RequestsAborted& aborted, Time now);
+    void on_suspicions(const Link::Ptr& link, const SuspectRequests& told, Time now);
     void clear(const std::vector<Fingerprint>& contents);
     void note_quarantined(const Fingerprint& content, Time now);
-    void tell_peers(const Suspicion& held);
+    void tell_peers(const SuspectRequest& held);
     void keep_quarantine();
     void quarantine_applied();
-    void propose_quarantine(const Suspicion& held);
-    void ask_whether_ended(const Suspicion& held);
+    void propose_quarantine(const SuspectRequest& held);
+    void ask_whether_ended(const SuspectRequest& held);
 
     // what endpoints say in their answers
     void on_leaving(const Link::Ptr& link, const EndpointsLeaving& told, Time now);
     void tell_answers(const Link::Ptr& link, Time now) const;
     void forget_answers(Time now);
-    void on_limit_words(const Link::Ptr& link, const LimitWords& told, Time now);
-    void lend_limits(const Link::Ptr& link, const Renew& renew, Time now);
+    void on_limit_words(const Link::Ptr& link, const LimitReports& told, Time now);
+    void lend_limits(const Link::Ptr& link, const LeaseRenewal& renew, Time now);
 
     // what entry hosts have under way
-    void on_shares(const GroupShares& shares, Time now);
+    void on_shares(const GroupLoadReports& shares, Time now);
     void tell_shares(Time now);
 
     void tick();
@@ -200,7 +200,7 @@
     void note_peers_behind() const;
 
     asio::io_context& io_;
-    FleetConfig config_;
+    SiteConfig config_;
     EndpointOrders& orders_;
     DocumentDecoder decode_;
     Identity identity_;
@@ -209,14 +209,14 @@
     std::unique_ptr<Replica> replica_; // null while the disk refuses to work
     NodeId node_ = NoNode;
     Time reopen_due_{};
-    VoterKeeper keeper_;
+    VoterSelector voter_selector_;
     std::unique_ptr<LinkListener> listener_;
     std::map<std::string, Peer> peers_; // by link address
     std::set<NodeId> nodes_;            // control hosts heard of, without this one
     std::map<std::string, EntrySession> entries_;
     Registry registry_;
     RegistryRepair repair_;
-    std::unique_ptr<RosterFile> roster_;
+    std::unique_ptr<EndpointCacheFile> endpoint_cache_;
     std::vector<EndpointReport> remembered_; // from before the start; empty once that is old
     bool peer_settled_ = false;              // another control host ran on while this one did not
     Time started_{};
@@ -227,7 +227,7 @@
     std::vector<EndpointReport> entry_changes_;     // to entry hosts only
     std::set<Epoch> dissolved_;                     // told to entry hosts
     std::set<EndpointId> alive_;                    // heard since the last flush
-    GroupLeader groups_;
+    GroupController groups_;
     std::vector<Waiting> waiting_;
     Version applied_document_ = 0;
     Version proposed_document_ = 0;
@@ -241,15 +241,15 @@
     Quarantine quarantine_;
     std::map<Fingerprint, QuarantineRecord> applied_quarantine_; // of the log
     std::map<EndpointId, Time> leaving_endpoints_;               // by their answers, since when
-    LimitBook limits_;
-    LimitLender lender_;
-    WorkBoard work_;
+    ReportedLimits limits_;
+    LimitAllocator allocator_;
+    EntryLoadTable work_;
     Time shares_due_{};
     Time second_due_{};
     Time alive_due_{};
     Time plan_due_{};
-    PacedWork planning_;
-    PacedWork telling_; // changes of endpoints, to peers and entry hosts
+    ThrottledWork planning_;
+    ThrottledWork telling_; // changes of endpoints, to peers and entry hosts
     Ticker ticker_;
     OwnedGauges gauges_;
 };
--- a/src/process/coordinatoranswers.cpp
+++ b/src/process/coordinatorlimits.cpp
@@ -13,9 +13,9 @@
 
 } // namespace
 
-void Coordinator::on_limit_words(const Link::Ptr& link, const LimitWords& told, Time now) {
-    LimitWords news;
-    for (const LimitWord& word : told.words) {
+void Coordinator::on_limit_words(const Link::Ptr& link, const LimitReports& told, Time now) {
+    LimitReports news;
+    for (const LimitReport& word : told.reports) {
         if (!limits_.merge(word, now))
             continue;
         log(LogLevel::Info, "endpoint limit",
@@ -23,9 +23,9 @@
              {"per_second", std::to_string(word.per_second)},
              {"age_ms", std::to_string(word.age_ms)},
              {"from", link->peer().name}});
-        news.words.push_back(word);
+        news.reports.push_back(word);
     }
-    if (news.words.empty())
+    if (news.reports.empty())
         return;
     if (link->peer().role == ProcessRole::Entry)
         send_to_peers(news);
@@ -51,7 +51,7 @@
 // To an entry host that may have begun just now.
 void Coordinator::tell_answers(const Link::Ptr& link, Time now) const {
     if (!limits_.empty())
-        link->send(LimitWords{limits_.words(now)});
+        link->send(LimitReports{limits_.reports(now)});
     EndpointsLeaving leaving;
     for (const auto& [id, since] : leaving_endpoints_)
         leaving.ids.push_back(id);
@@ -67,12 +67,12 @@
 }
 
 // Before the answer to the question, which ends it.
-void Coordinator::lend_limits(const Link::Ptr& link, const Renew& renew, Time now) {
-    lender_.seen(renew.entry, renew.incarnation, renew.calls, now);
+void Coordinator::lend_limits(const Link::Ptr& link, const LeaseRenewal& renew, Time now) {
+    allocator_.seen(renew.entry, renew.incarnation, renew.calls, now);
     if (!leads() || limits_.limited() == 0)
         return;
-    if (auto loans = lender_.lend(renew.entry, limits_, now))
-        link->send(LimitLoans{renew.sequence, std::move(*loans)});
+    if (auto limit_shares = allocator_.grant_shares(renew.entry, limits_, now))
+        link->send(LimitShares{renew.sequence, std::move(*limit_shares)});
 }
 
 } // namespace liftweir
--- a/src/process/coordinatorfleet.cpp
+++ b/src/process/coordinatorlinks.cpp
@@ -21,15 +21,15 @@
 // ---- links
 
 // Encoded once for all links.
-void Coordinator::send_to_entries(const Wire& message) {
-    const EncodedWire encoded(message);
+void Coordinator::send_to_entries(const WireMessage& message) {
+    const EncodedMessage encoded(message);
     for (auto& [name, session] : entries_)
         if (session.link)
             session.link->send(encoded);
 }
 
-void Coordinator::send_to_peers(const Wire& message) {
-    const EncodedWire encoded(message);
+void Coordinator::send_to_peers(const WireMessage& message) {
+    const EncodedMessage encoded(message);
     for (auto& [address, peer] : peers_)
         peer.dialer->send(encoded);
 }
@@ -41,13 +41,15 @@
         return;
     Peer& peer = peers_[address];
     peer.dialer = std::make_unique<Dialer>(io_, address, identity_, keys_);
-    peer.dialer->start([this, &peer](const Link::Ptr&) { greet(peer); },
-                       [this](const Link::Ptr& link, Wire&& m) { on_message(link, std::move(m)); },
-                       [](const Link::Ptr&) {});
+    peer.dialer->start(
+        [this, &peer](const Link::Ptr&) { greet(peer); },
+        [this](const Link::Ptr& link, WireMessage&& m) { on_message(link, std::move(m)); },
+        [](const Link::Ptr&) {});
     peer.raft = std::make_unique<Dialer>(io_, address, identity_, keys_);
-    peer.raft->start([](const Link::Ptr&) {},
-                     [this](const Link::Ptr& link, Wire&& m) { on_message(link, std::move(m)); },
-                     [](const Link::Ptr&) {});
+    peer.raft->start(
+        [](const Link::Ptr&) {},
+        [this](const Link::Ptr& link, WireMessage&& m) { on_message(link, std::move(m)); },
+        [](const Link::Ptr&) {});
 }
 
 void Coordinator::learn(NodeId node) {
@@ -91,8 +93,8 @@
         log(LogLevel::Info, "control host known", {{"node", text_of(hello.node)}});
     peer.node = hello.node;
     peer_settled_ = peer_settled_ || hello.settled;
-    peer.dialer->hurry();
-    peer.raft->hurry();
+    peer.dialer->retry_now();
+    peer.raft->retry_now();
     for (const NodeId node : hello.nodes) {
         const bool host_known =
             std::any_of(nodes_.begin(), nodes_.end(), [&](NodeId n) { return same_host(n, node); });
@@ -103,13 +105,13 @@
         peer.dialer->send(RegistryDigests{registry_.range_digests()});
 }
 
-void Coordinator::on_message(const Link::Ptr& link, Wire&& message) {
+void Coordinator::on_message(const Link::Ptr& link, WireMessage&& message) {
     const Time now = BootClock::now();
     if (const auto* packet = std::get_if<RaftPacket>(&message)) {
         on_raft(link, *packet, now);
     } else if (const auto* hello = std::get_if<PeerHello>(&message)) {
         on_hello(*hello);
-    } else if (const auto* renew = std::get_if<Renew>(&message)) {
+    } else if (const auto* renew = std::get_if<LeaseRenewal>(&message)) {
         on_renew(link, *renew);
     } else if (const auto* changes = std::get_if<EndpointChanges>(&message)) {
         on_changes(*changes, now);
@@ -117,19 +119,19 @@
         on_alive(*alive, now);
     } else if (const auto* suspected = std::get_if<GroupSuspected>(&message)) {
         on_suspected(*suspected, now);
-    } else if (const auto* cut_off = std::get_if<RequestsCutOff>(&message)) {
-        on_cut_off(link, *cut_off, now);
-    } else if (const auto* suspicions = std::get_if<Suspicions>(&message)) {
+    } else if (const auto* aborted = std::get_if<RequestsAborted>(&message)) {
+        on_aborted(link, *aborted, now);
+    } else if (const auto* suspicions = std::get_if<SuspectRequests>(&message)) {
         on_suspicions(link, *suspicions, now);
     } else if (const auto* leaving = std::get_if<EndpointsLeaving>(&message)) {
         on_leaving(link, *leaving, now);
-    } else if (const auto* words = std::get_if<LimitWords>(&message)) {
+    } else if (const auto* words = std::get_if<LimitReports>(&message)) {
         on_limit_words(link, *words, now);
-    } else if (const auto* shares = std::get_if<GroupShares>(&message)) {
+    } else if (const auto* shares = std::get_if<GroupLoadReports>(&message)) {
         on_shares(*shares, now);
     } else if (const auto* digests = std::get_if<RegistryDigests>(&message)) {
         on_digests(link, *digests, now);
-    } else if (const auto* wanted = std::get_if<RangesWanted>(&message)) {
+    } else if (const auto* wanted = std::get_if<RangesRequested>(&message)) {
         send_ranges(link, *wanted, now);
     }
 }
@@ -153,30 +155,30 @@
             session.link.reset();
 }
 
-Vouch Coordinator::make_vouch(std::uint64_t sequence) const {
-    Vouch vouch;
-    vouch.node = node_;
-    vouch.sequence = sequence;
-    vouch.registered = true;
-    vouch.nodes = known_nodes();
+LeaseAck Coordinator::make_lease_ack(std::uint64_t sequence) const {
+    LeaseAck lease_ack;
+    lease_ack.node = node_;
+    lease_ack.sequence = sequence;
+    lease_ack.registered = true;
+    lease_ack.nodes = known_nodes();
     if (replica_) {
-        vouch.logged = replica_->logged_lease_version();
-        vouch.table = replica_->state().document().index;
-        vouch.voters = replica_->raft().voters();
-        vouch.voters_index = replica_->raft().voters_index();
-        vouch.leader = replica_->raft().leader();
+        lease_ack.logged = replica_->logged_lease_version();
+        lease_ack.table = replica_->state().document().index;
+        lease_ack.voters = replica_->raft().voters();
+        lease_ack.voters_index = replica_->raft().voters_index();
+        lease_ack.leader = replica_->raft().leader();
     }
     const Time now = BootClock::now();
     for (const auto& [name, session] : entries_) {
         if (now - session.heard > EntrySessionKept)
             continue;
-        ++vouch.entries;
-        vouch.in_flight_total += session.renew.in_flight;
+        ++lease_ack.entries;
+        lease_ack.in_flight_total += session.renew.in_flight;
     }
-    return vouch;
+    return lease_ack;
 }
 
-void Coordinator::on_renew(const Link::Ptr& link, const Renew& renew) {
+void Coordinator::on_renew(const Link::Ptr& link, const LeaseRenewal& renew) {
     if (link->peer().role != ProcessRole::Entry)
         return;
     EntrySession& session = entries_[renew.entry];
@@ -193,13 +195,13 @@
     lend_limits(link, renew, session.heard);
     // A closed log can vouch for nothing.
     if (replica_)
-        link->send(make_vouch(renew.sequence));
+        link->send(make_lease_ack(renew.sequence));
     if (new_link && !remembered_.empty())
-        link->send(EndpointsRemembered{remembered_});
+        link->send(EndpointsRestored{remembered_});
     if (new_link && leads())
         tell_dissolved(link);
-    if (const auto known = quarantine_.worth_telling(session.heard); new_link && !known.empty())
-        link->send(Suspicions{known, {}});
+    if (const auto known = quarantine_.suspects_to_send(session.heard); new_link && !known.empty())
+        link->send(SuspectRequests{known, {}});
     if (replica_)
         push_document_to(session);
     const Time now = BootClock::now();
@@ -212,7 +214,7 @@
 
 // ---- what entry hosts have under way
 
-void Coordinator::on_shares(const GroupShares& shares, Time now) {
+void Coordinator::on_shares(const GroupLoadReports& shares, Time now) {
     work_.tell(shares.entry, shares.shares, now);
 }
 
@@ -222,10 +224,10 @@
     shares_due_ = now + work_.every();
     if (work_.empty() || !leads())
         return;
-    const auto every_ms = static_cast<std::uint32_t>(to_millis(work_.every()));
+    const auto interval_ms = static_cast<std::uint32_t>(to_millis(work_.every()));
     for (auto& [name, session] : entries_)
         if (session.link && !session.link->backed_up())
-            session.link->send(GroupShares{"", every_ms, work_.others_of(name)});
+            session.link->send(GroupLoadReports{"", interval_ms, work_.load_of_others(name)});
 }
 
 // ---- groups
@@ -234,7 +236,7 @@
 // other no faster than leaves most of the time to what else this process does.
 void Coordinator::plan_soon() {
     if (leads())
-        planning_.soon();
+        planning_.schedule();
 }
 
 void Coordinator::plan() {
@@ -244,7 +246,7 @@
         return;
     if (groups_.plan(*replica_, registry_, now))
         pump_soon();
-    for (const GroupLeader::Probe& asked : groups_.take_probes())
+    for (const GroupController::Probe& asked : groups_.take_probes())
         probe(asked, now);
     for (const PlanEvent& event : groups_.take_events())
         log(LogLevel::Info, "group " + event.what,
@@ -256,7 +258,7 @@
     tell_dissolved(nullptr);
 }
 
-void Coordinator::probe(const GroupLeader::Probe& asked, Time now) {
+void Coordinator::probe(const GroupController::Probe& asked, Time now) {
     const Registry::Item* item = registry_.find(asked.endpoint);
     if (item == nullptr) {
         groups_.probed(asked, false, now);
--- a/src/process/coordinatorquarantine.cpp
+++ b/src/process/coordinatorquarantine.cpp
@@ -10,17 +10,17 @@
 
 namespace liftweir {
 
-void Coordinator::on_cut_off(const Link::Ptr& link, const RequestsCutOff& cut_off, Time now) {
+void Coordinator::on_aborted(const Link::Ptr& link, const RequestsAborted& aborted, Time now) {
     // An entry host may reach some control hosts only.
     if (link->peer().role == ProcessRole::Entry)
-        send_to_peers(cut_off);
-    Suspicions news;
-    for (const CutOff& request : cut_off.requests) {
-        if (quarantine_.cut_off(request, cut_off.endpoint, now)) {
+        send_to_peers(aborted);
+    SuspectRequests news;
+    for (const AbortedRequest& request : aborted.requests) {
+        if (quarantine_.aborted(request, aborted.endpoint, now)) {
             note_quarantined(request.content, now);
             tell_peers(quarantine_.suspicion(request.content, now));
         }
-        const Suspicion known = quarantine_.suspicion(request.content, now);
+        const SuspectRequest known = quarantine_.suspicion(request.content, now);
         if (known.ends > 1)
             news.known.push_back(known);
     }
@@ -28,12 +28,12 @@
         send_to_entries(news);
 }
 
-void Coordinator::on_suspicions(const Link::Ptr& link, const Suspicions& told, Time now) {
+void Coordinator::on_suspicions(const Link::Ptr& link, const SuspectRequests& told, Time now) {
     if (link->peer().role == ProcessRole::Entry && !told.cleared.empty())
-        send_to_peers(Suspicions{{}, told.cleared});
+        send_to_peers(SuspectRequests{{}, told.cleared});
     clear(told.cleared);
-    Suspicions news;
-    for (const Suspicion& suspicion : told.known) {
+    SuspectRequests news;
+    for (const SuspectRequest& suspicion : told.known) {
         if (!quarantine_.merge(suspicion, now))
             continue;
         note_quarantined(suspicion.content, now);
@@ -46,7 +46,7 @@
 // An endpoint ran them to their end. Where the log holds them back, or is about to, it is told as
 // well: what is taken back before it is committed was held back again after a restart.
 void Coordinator::clear(const std::vector<Fingerprint>& contents) {
-    Suspicions news;
+    SuspectRequests news;
     for (const Fingerprint& content : contents) {
         const bool held = quarantine_.left(content, BootClock::now()) > Duration::zero();
         if (!quarantine_.clear(content))
@@ -63,7 +63,7 @@
 }
 
 void Coordinator::note_quarantined(const Fingerprint& content, Time now) {
-    const Suspicion held = quarantine_.suspicion(content, now);
+    const SuspectRequest held = quarantine_.suspicion(content, now);
     std::string endpoints;
     for (const EndpointId& endpoint : held.endpoints)
         endpoints += (endpoints.empty() ? "" : ",") + text_of(endpoint);
@@ -81,13 +81,13 @@
 // A link may break connections off, or an endpoint that goes on. Who answers under the start that
 // it had has not ended, so the request did not end it: what three such endpoints broke off was held
 // back for ten minutes from all who asked the same. Where the request did end them, nobody answers.
-void Coordinator::ask_whether_ended(const Suspicion& held) {
+void Coordinator::ask_whether_ended(const SuspectRequest& held) {
     const std::size_t counted = std::min<std::size_t>(held.ends, held.endpoints.size());
     for (auto id = held.endpoints.end() - static_cast<std::ptrdiff_t>(counted);
          id != held.endpoints.end(); ++id) {
         // Where no start is told, one that has ended and is back answers as if it never had.
         const Registry::Item* item = registry_.find(*id);
-        if (item == nullptr || !id->tells_start())
+        if (item == nullptr || !id->has_start_time())
             continue;
         orders_.probe(item->report, [this, content = held.content, endpoint = *id](bool alive) {
             if (!alive)
@@ -95,7 +95,7 @@
             log(LogLevel::Info, "request cleared: an endpoint that broke it off has not ended",
                 {{"content", text_of(content)}, {"endpoint", text_of(endpoint)}});
             // Not by the log alone: where it takes both at once, others never see the verdict go.
-            send_to_peers(Suspicions{{}, {content}});
+            send_to_peers(SuspectRequests{{}, {content}});
             clear({content});
         });
     }
@@ -104,11 +104,11 @@
 // Whoever hears of two ends late may count them as one. Told of what another host decided, the
 // leader puts it into the log: on a busy machine one control host of three held a request back, and
 // neither the leader nor the log knew.
-void Coordinator::tell_peers(const Suspicion& held) {
-    send_to_peers(Suspicions{{held}, {}});
+void Coordinator::tell_peers(const SuspectRequest& held) {
+    send_to_peers(SuspectRequests{{held}, {}});
 }
 
-void Coordinator::propose_quarantine(const Suspicion& held) {
+void Coordinator::propose_quarantine(const SuspectRequest& held) {
     const std::int64_t now_ms = wall_millis();
     replica_->propose(QuarantineRequest{held.content, held.ends, now_ms + held.left_ms, now_ms},
                       [](const Expected<ApplyResult>&) {});
@@ -120,7 +120,7 @@
     if (!leads())
         return;
     const auto& logged = replica_->state().quarantined();
-    for (const Suspicion& known : quarantine_.worth_telling(BootClock::now())) {
+    for (const SuspectRequest& known : quarantine_.suspects_to_send(BootClock::now())) {
         const auto found = logged.find(known.content);
         if (known.left_ms > 0 && (found == logged.end() || found->second.ends < known.ends))
             propose_quarantine(known);
@@ -134,12 +134,12 @@
         return;
     const Time now = BootClock::now();
     const std::int64_t now_ms = wall_millis();
-    Suspicions news;
+    SuspectRequests news;
     for (const auto& [content, record] : logged) {
         const std::int64_t left_ms = record.until_ms - now_ms;
         if (left_ms <= 0)
             continue;
-        const Suspicion told{content, record.ends, {}, static_cast<std::uint32_t>(left_ms)};
+        const SuspectRequest told{content, record.ends, {}, static_cast<std::uint32_t>(left_ms)};
         if (quarantine_.merge(told, now))
             news.known.push_back(quarantine_.suspicion(content, now));
     }
--- a/src/process/coordinatorregistry.cpp
+++ b/src/process/coordinatorregistry.cpp
@@ -27,11 +27,12 @@
     const auto wanted =
         repair_.compare(link->peer().name, digests.ranges, registry_.range_digests(), true, now);
     if (!wanted.empty())
-        link->send(RangesWanted{wanted});
+        link->send(RangesRequested{wanted});
 }
 
 // What a full link does not take is asked for again.
-void Coordinator::send_ranges(const Link::Ptr& link, const RangesWanted& wanted, Time now) const {
+void Coordinator::send_ranges(const Link::Ptr& link, const RangesRequested& wanted,
+                              Time now) const {
     for (const RangeCopy& part : copy_ranges(registry_, wanted.ranges, now)) {
         if (link->backed_up())
             return;
@@ -77,7 +78,7 @@
 
 void Coordinator::gone(EndpointId id) {
     const Registry::Item* last = registry_.latest(id.name);
-    if (!id.tells_start() && last != nullptr)
+    if (!id.has_start_time() && last != nullptr)
         id = last->report.id;
     if (!registry_.mark_gone(id, BootClock::now()))
         return;
@@ -93,7 +94,7 @@
 
 void Coordinator::on_alive(const EndpointsAlive& alive, Time now) {
     for (const EndpointId& id : alive.ids)
-        registry_.heard(id, now);
+        registry_.seen_alive(id, now);
     pass_on_settled();
 }
 
@@ -133,7 +134,7 @@
 
 // Those that ended go first: hosts that hear of a newer start alone would doubt it.
 void Coordinator::pass_on_settled() {
-    for (const EndpointId& id : registry_.take_settled()) {
+    for (const EndpointId& id : registry_.take_resolved()) {
         const EndpointReport& report = registry_.find(id)->report;
         log(LogLevel::Info, "address settled",
             {{"id", text_of(id)},
@@ -146,7 +147,7 @@
 
 // Two incarnations at one address: the address itself says which of them it is.
 void Coordinator::settle_doubts(Time now) {
-    for (const Registry::Question& question : registry_.take_questions(now))
+    for (const Registry::AddressCheck& question : registry_.take_address_checks(now))
         orders_.probe(question.endpoint, [this, question](bool alive) {
             if (!alive)
                 return;
@@ -167,7 +168,7 @@
          {"rank", std::to_string(membership.rank)},
          {"sequence", std::to_string(report.sequence)}});
     (to_peers ? changes_ : entry_changes_).push_back(report);
-    telling_.soon();
+    telling_.schedule();
 }
 
 // Where hundreds of entry hosts are told of thousands of endpoints that register, a message to each
@@ -212,7 +213,7 @@
     if (now < roster_due_)
         return;
     roster_due_ = now + RosterEvery;
-    roster_->keep(registry_, now - BeatsMissed * config_.bounds.beat);
+    endpoint_cache_->keep(registry_, now - BeatsMissed * config_.bounds.beat);
 }
 
 } // namespace liftweir
--- a/src/process/rosterfile.cpp
+++ b/src/process/endpointcachefile.cpp
@@ -1,4 +1,4 @@
-#include "process/rosterfile.h"
+#include "process/endpointcachefile.h"
 
 #include "connection/codec.h"
 #include "process/logging.h"
@@ -32,8 +32,9 @@
 
 } // namespace
 
-// Outlives its RosterFile while the disk holds a write up: a process must be able to end then.
-class RosterFile::Writer : public std::enable_shared_from_this<RosterFile::Writer> {
+// Outlives its EndpointCacheFile while the disk holds a write up: a process must be able to end
+// then.
+class EndpointCacheFile::Writer : public std::enable_shared_from_this<EndpointCacheFile::Writer> {
   public:
     explicit Writer(std::shared_ptr<Storage> storage) : storage_(std::move(storage)) {}
 
@@ -92,16 +93,16 @@
     bool stopped_ = false;
 };
 
-RosterFile::RosterFile(std::shared_ptr<Storage> storage)
+EndpointCacheFile::EndpointCacheFile(std::shared_ptr<Storage> storage)
     : storage_(std::move(storage)), writer_(std::make_shared<Writer>(storage_)) {
     writer_->start();
 }
 
-RosterFile::~RosterFile() {
+EndpointCacheFile::~EndpointCacheFile() {
     writer_->stop();
 }
 
-std::vector<EndpointReport> RosterFile::load() const {
+std::vector<EndpointReport> EndpointCacheFile::load() const {
     const auto names = storage_->list();
     if (!names || std::find(names->begin(), names->end(), RosterName) == names->end())
         return {};
@@ -121,10 +122,10 @@
 }
 
 // The registry keeps silent endpoints for long, as they may be cut off from control alone.
-void RosterFile::keep(const Registry& registry, Time since) {
+void EndpointCacheFile::keep(const Registry& registry, Time since) {
     Roster roster;
     for (const auto& [id, item] : registry.items())
-        if (item.report.phase == EndpointPhase::Serving && item.heard >= since)
+        if (item.report.phase == EndpointPhase::Serving && item.last_contact >= since)
             roster.reports.push_back(without_sequence(item.report));
     std::string bytes = encode_struct(roster);
     if (bytes == kept_)
--- a/src/process/rosterfile.h
+++ b/src/process/endpointcachefile.h
@@ -1,5 +1,5 @@
-#ifndef ROSTERFILE_H_INCLUDED
-#define ROSTERFILE_H_INCLUDED
+#ifndef ENDPOINTCACHEFILE_H_INCLUDED
+#define ENDPOINTCACHEFILE_H_INCLUDED
 
 #include "process/registry.h"
 #include "process/storage.h"
@@ -15,13 +15,13 @@
 //
 // Writing goes on in a thread of its own, since a disk may stand still for seconds. A write that
 // fails is logged, and the next one tries again.
-class RosterFile {
+class EndpointCacheFile {
   public:
     // `storage` has to stay usable while the last write goes on.
-    explicit RosterFile(std::shared_ptr<Storage> storage);
-    ~RosterFile();
-    RosterFile(const RosterFile&) = delete;
-    RosterFile& operator=(const RosterFile&) = delete;
+    explicit EndpointCacheFile(std::shared_ptr<Storage> storage);
+    ~EndpointCacheFile();
+    EndpointCacheFile(const EndpointCacheFile&) = delete;
+    EndpointCacheFile& operator=(const EndpointCacheFile&) = delete;
 
     // What was kept before this process began; empty where there is nothing, or nothing readable.
     std::vector<EndpointReport> load() const;
@@ -40,4 +40,4 @@
 
 } // namespace liftweir
 
-#endif // ROSTERFILE_H_INCLUDED
+#endif // ENDPOINTCACHEFILE_H_INCLUDED
--- a/src/process/entry.cpp
+++ b/src/process/entry.cpp
@@ -59,9 +59,9 @@
     for (const auto& [node, address] : config.control) {
         auto dialer = std::make_unique<Dialer>(io_, address, shared_.identity, shared_.keys);
         dialer->start([this](const Link::Ptr&) { renew_due_ = {}; },
-                      [this](const Link::Ptr&, Wire&& message) {
-                          if (const auto* vouch = std::get_if<Vouch>(&message))
-                              on_vouch(*vouch);
+                      [this](const Link::Ptr&, WireMessage&& message) {
+                          if (const auto* lease_ack = std::get_if<LeaseAck>(&message))
+                              on_lease_ack(*lease_ack);
                           else if (const auto* reply = std::get_if<CommandReply>(&message))
                               on_reply(*reply);
                       },
@@ -115,7 +115,7 @@
     for (const auto& [node, dialer] : control_) {
         if (!dialer->up())
             continue;
-        Renew renew;
+        LeaseRenewal renew;
         renew.entry = shared_.config.name;
         renew.incarnation = shared_.identity.incarnation;
         renew.sequence = lease_.asked(node, now);
@@ -126,19 +126,19 @@
     }
 }
 
-void Entry::on_vouch(const Vouch& vouch) {
-    if (vouch.leader != NoNode)
-        leader_ = vouch.leader;
-    if (vouch.has_delta && builder_.apply(vouch.delta))
+void Entry::on_lease_ack(const LeaseAck& lease_ack) {
+    if (lease_ack.leader != NoNode)
+        leader_ = lease_ack.leader;
+    if (lease_ack.has_delta && builder_.apply(lease_ack.delta))
         publish();
-    lease_.on_vouch(vouch, builder_.lease_version(), BootClock::now());
+    lease_.on_lease_ack(lease_ack, builder_.lease_version(), BootClock::now());
     // The lease is extended only after the tables that it vouches for are published.
     shared_.lease_until.store(lease_.valid_until().time_since_epoch().count(),
                               std::memory_order_release);
     note_lease(BootClock::now());
     if (lease_.behind())
         renew_due_ = std::min(renew_due_, BootClock::now() + RenewEvery / 8);
-    if (!vouch.registered && !std::exchange(registering_, true)) {
+    if (!lease_ack.registered && !std::exchange(registering_, true)) {
         const ProcessConfig& config = shared_.config;
         submit(
             RegisterEntry{{config.name, shared_.identity.incarnation, config.metrics, config.site}},
--- a/src/process/entry.h
+++ b/src/process/entry.h
@@ -1,7 +1,7 @@
 #ifndef ENTRY_H_INCLUDED
 #define ENTRY_H_INCLUDED
 
-#include "process/leasekeeper.h"
+#include "process/leaseholder.h"
 #include "process/shard.h"
 #include "process/ticker.h"
 
@@ -37,7 +37,7 @@
     void submit(Command command, EntryShared::CommandAnswer answer);
     void send_pending(std::uint64_t id, Pending& pending);
     void resend_pending(Time now);
-    void on_vouch(const Vouch& vouch);
+    void on_lease_ack(const LeaseAck& lease_ack);
     void on_reply(const CommandReply& reply);
     void publish();
     void note_lease(Time now);
@@ -47,7 +47,7 @@
     asio::io_context& io_;
     EntryShared shared_;
     TableBuilder builder_;
-    LeaseKeeper lease_;
+    LeaseHolder lease_;
     std::map<NodeId, std::unique_ptr<Dialer>> control_;
     NodeId leader_ = NoNode;
     std::map<std::uint64_t, Pending> pending_;
--- a/src/process/followerprogress.h
+++ b/src/process/followerprogress.h
@@ -27,7 +27,7 @@
     std::size_t unanswered_bytes() const { return unanswered_bytes_; }
     // The newest round of heartbeats that the follower answered.
     std::uint64_t round() const { return round_; }
-    Time heard() const { return heard_; }
+    Time last_contact() const { return heard_; }
     bool snapshot_due(Time now) const { return now >= snapshot_due_; }
     // Whether it answered since the last call.
     bool take_active();
--- a/src/process/gate.cpp
+++ b/src/process/gate.cpp
@@ -58,7 +58,7 @@
     return out;
 }
 
-void Gate::on_echo(const Echo& echo, Time /*now*/) {
+void Gate::on_ping_reply(const PingReply& echo, Time /*now*/) {
     if (echo.epoch != assignment_.epoch)
         return;
     for (Peer& peer : peers_) {
@@ -72,10 +72,10 @@
     }
 }
 
-std::optional<Echo> Gate::answer(const Ping& ping) const {
+std::optional<PingReply> Gate::answer(const Ping& ping) const {
     if (ping.epoch != assignment_.epoch || ping.to != incarnation_ || !engine_ready_)
         return std::nullopt;
-    return Echo{ping.epoch, ping.sequence, incarnation_};
+    return PingReply{ping.epoch, ping.sequence, incarnation_};
 }
 
 bool Gate::fresh(const Peer& peer, Time now) const {
--- a/src/process/gate.h
+++ b/src/process/gate.h
@@ -31,9 +31,9 @@
 
     // Pings to send now; empty on members that do not lead.
     std::vector<DuePing> due_pings(Time now);
-    void on_echo(const Echo& echo, Time now);
+    void on_ping_reply(const PingReply& echo, Time now);
     // The echo to send back, if this member holds its part.
-    std::optional<Echo> answer(const Ping& ping) const;
+    std::optional<PingReply> answer(const Ping& ping) const;
 
     // May work be forwarded to the engine now?
     bool open(Time now) const;
--- a/src/process/gateway.cpp
+++ b/src/process/gateway.cpp
@@ -1,8 +1,8 @@
 #include "process/gateway.h"
 
-#include "process/fleetprogram.h"
 #include "process/logging.h"
 #include "process/metrics.h"
+#include "process/siteprogram.h"
 
 #include <algorithm>
 
@@ -47,7 +47,7 @@
 
 } // namespace
 
-Gateway::Gateway(asio::io_context& io, FleetConfig config, const CallerProtocol& protocol,
+Gateway::Gateway(asio::io_context& io, SiteConfig config, const CallerProtocol& protocol,
                  Decoder decode)
     : io_(io),
       config_(std::move(config)),
@@ -85,7 +85,7 @@
     ticker_.start();
 }
 
-void Gateway::reconfigure(const FleetConfig& config) {
+void Gateway::reconfigure(const SiteConfig& config) {
     config_.seeds = config.seeds;
     for (const std::string& ip : config_.seed_ips())
         connect_to(ip + ":" + std::to_string(config_.link_port));
@@ -101,8 +101,8 @@
             budget(service.name).set_share(share_);
 }
 
-RepeatBudget& Gateway::budget(const std::string& service) {
-    const FleetBounds& bounds = config_.bounds;
+WindowedRetryBudget& Gateway::budget(const std::string& service) {
+    const SiteBounds& bounds = config_.bounds;
     return budgets_
         .try_emplace(service, bounds.retry_window, bounds.retry_ratio, bounds.retry_slack)
         .first->second;
@@ -116,7 +116,7 @@
          {"kind", kind},
          {"status", std::to_string(status)},
          {"document", std::to_string(document_.version)}});
-    exchange.respond(status, protocol_.own_answer(request, retry_after),
+    exchange.respond(status, protocol_.own_answer_headers(request, retry_after),
                      std::string("{\"error\":{\"kind\":\"") + kind +
                          "\",\"outcome\":\"not-run\"}}\n");
 }
@@ -136,7 +136,7 @@
 
 // Names the customer in the plan, or answers the request itself.
 bool Gateway::authorise(HttpExchange& exchange, const CallerRequest& request, Time now,
-                        RelayPlan& plan) {
+                        RelayedCallRoute& plan) {
     if (!plan.route->needs_key || plan.table->deployment().customers.empty())
         return true;
     if (!lease_holds(now)) {
@@ -174,7 +174,7 @@
 // Tells whether callers come on connections that they kept, or because the balancer still sends.
 void Gateway::note_taken_while_leaving(const HttpExchange& exchange, const CallerRequest& request,
                                        Time now) {
-    const std::string connection = exchange.on_kept_connection() ? "kept" : "new";
+    const std::string connection = exchange.on_reused_connection() ? "kept" : "new";
     Metrics::instance()
         .counter("liftweir_taken_while_leaving", "connection=\"" + connection + "\"")
         .add();
@@ -196,19 +196,19 @@
     if (in_service(now)) {
         ever_in_service_ = true;
         in_service_since_ = now;
-        const std::vector<ArrivalHold::Held> held = held_.release();
+        const std::vector<StartupQueue::QueuedRequest> held = held_.release();
         log(LogLevel::Info, "in service", {{"held_requests", std::to_string(held.size())}});
-        for (const ArrivalHold::Held& item : held)
+        for (const StartupQueue::QueuedRequest& item : held)
             admit(item.exchange, item.request);
         return;
     }
-    for (const ArrivalHold::Held& item : held_.expired(now))
+    for (const StartupQueue::QueuedRequest& item : held_.expired(now))
         answer_self(*item.exchange, item.request, 503, "no_settings", RetryAfterUnready);
 }
 
 void Gateway::admit(const std::shared_ptr<HttpExchange>& exchange, const CallerRequest& request) {
     const Time now = BootClock::now();
-    RelayPlan plan;
+    RelayedCallRoute plan;
     plan.table = table_;
     plan.route = table_->find(request.host, request.path);
     if (plan.route == nullptr) {
@@ -221,9 +221,9 @@
     if (!authorise(*exchange, request, now, plan))
         return;
     plan.service = choose_service(*table_, *plan.route);
-    if (request.patience)
+    if (request.time_limit)
         plan.waited_before =
-            waits_.waited(plan.route->name, *request.patience, plan.route->timeout, now);
+            waits_.waited(plan.route->name, *request.time_limit, plan.route->timeout, now);
     ++calls_taken_;
     const auto call = std::make_shared<RelayedCall>(*this, exchange, request, plan);
     calls_.insert(call);
@@ -299,7 +299,7 @@
     if (now - told <= SuspectEvery || item == nullptr || !item->report.grouped())
         return;
     told = now;
-    const StallWatch& watch = directory_.use(id).watch;
+    const StallDetector& watch = directory_.use(id).watch;
     const std::int64_t silent = to_millis(watch.stalled(now));
     log(LogLevel::Info, "group stands still",
         {{"endpoint", text_of(id)},
@@ -348,7 +348,7 @@
     if (leaving_since_ == Time{} || stopped_)
         return;
     if (drains(now))
-        callers_->close_resting();
+        callers_->close_idle();
     const bool late = now - leaving_since_ > config_.bounds.grace - LeavingReserve;
     if (late)
         for (const auto& call : calls())
--- a/src/process/gateway.h
+++ b/src/process/gateway.h
@@ -2,16 +2,16 @@
 #define GATEWAY_H_INCLUDED
 
 #include "connection/link.h"
-#include "process/fleetconfig.h"
-#include "process/leasekeeper.h"
+#include "process/leaseholder.h"
 #include "process/metrics.h"
 #include "process/quarantine.h"
 #include "process/registryrepair.h"
+#include "process/siteconfig.h"
 #include "process/ticker.h"
-#include "request/arrivalhold.h"
 #include "request/callerwait.h"
+#include "request/entryloadtable.h"
 #include "request/relayedcall.h"
-#include "request/workboard.h"
+#include "request/startupqueue.h"
 #include "version/deployment.h"
 
 #include <functional>
@@ -25,11 +25,11 @@
 
 // An entry host where endpoints register themselves: takes callers' requests, and passes them to
 // endpoints by the newest document that it knows to be in force. Single-threaded.
-class Gateway final : public RelayHost {
+class Gateway final : public RelayedCallContext {
   public:
     using Decoder = std::function<Expected<Deployment>(const std::string& body)>;
 
-    Gateway(asio::io_context& io, FleetConfig config, const CallerProtocol& protocol,
+    Gateway(asio::io_context& io, SiteConfig config, const CallerProtocol& protocol,
             Decoder decode);
     ~Gateway() override;
     Gateway(const Gateway&) = delete;
@@ -37,7 +37,7 @@
 
     void start();
     // The settings file has changed.
-    void reconfigure(const FleetConfig& config);
+    void reconfigure(const SiteConfig& config);
     // Stops taking work, finishes what there is, then stops the loop.
     void leave();
 
@@ -45,14 +45,14 @@
     Directory& directory() override { return directory_; }
     HttpChannelPool& pool() override { return *pool_; }
     const CallerProtocol& protocol() const override { return protocol_; }
-    RepeatBudget& budget(const std::string& service) override;
-    bool learns_endpoints(Time now) const override;
-    void note_limit(const EndpointId& id, const AnswerNote& note, Time sent) override;
+    WindowedRetryBudget& budget(const std::string& service) override;
+    bool discovering_endpoints(Time now) const override;
+    void note_limit(const EndpointId& id, const ResponseSignals& note, Time sent) override;
     void note_leaving(const EndpointId& id) override;
-    void note_rest(const EndpointId& id, const AnswerNote& note) override;
+    void note_backoff(const EndpointId& id, const ResponseSignals& note) override;
     void unreachable(const EndpointId& id) override;
     const Quarantine& quarantine() const override { return quarantine_; }
-    void cut_off(const CutOff& request, const EndpointId& id) override;
+    void aborted(const AbortedRequest& request, const EndpointId& id) override;
     void cleared(const Fingerprint& content) override;
     void ended(const CallSummary& summary) override;
 
@@ -60,17 +60,17 @@
     void connect_to(const std::string& address);
     void renew(Time now);
     void end_silent_links(Time now);
-    void on_message(const std::string& address, Wire&& message);
+    void on_message(const std::string& address, WireMessage&& message);
     void choose_source();
     void forget_told(const std::string& address);
     Version told_of(const std::string& address) const;
-    Renew make_renew(const std::string& address, Time now);
-    void on_vouch(const std::string& address, const Vouch& vouch);
-    void learn_share(const Vouch& vouch);
+    LeaseRenewal make_renew(const std::string& address, Time now);
+    void on_lease_ack(const std::string& address, const LeaseAck& lease_ack);
+    void learn_share(const LeaseAck& lease_ack);
     void note_lease(Time now);
     void tell_shares(Time now);
     void on_document(const DocumentPush& push);
-    void send_to_control(const Wire& message);
+    void send_to_control(const WireMessage& message);
     bool lease_holds(Time now) const;
 
     // endpoints, as control tells of them
@@ -78,20 +78,20 @@
     void on_digests(const std::string& address, const RegistryDigests& digests);
     void ask_for_agreed(Time now);
     void forget_connections(const EndpointReport& report);
-    void on_remembered(const EndpointsRemembered& remembered);
+    void on_remembered(const EndpointsRestored& remembered);
     void forget_unconfirmed(Time now);
 
     // requests that end endpoints
     void tell_cut_off();
     void tell_suspicions(const std::string& address);
-    void on_suspicions(const Suspicions& told);
+    void on_suspicions(const SuspectRequests& told);
     void note_quarantined(const Fingerprint& content, Time now);
 
     // what endpoints say in their answers
     void on_leaving(const EndpointsLeaving& told);
     void tell_limits(Time now);
-    void on_limit_words(const LimitWords& told);
-    void on_loans(const std::string& address, const LimitLoans& lent);
+    void on_limit_words(const LimitReports& told);
+    void on_loans(const std::string& address, const LimitShares& lent);
     static void ignored(const EndpointId& id, const char* what, NumberFault fault);
     void limit_changed(const EndpointId& id, const char* from);
 
@@ -105,7 +105,8 @@
     void settle_held(Time now);
     void answer_self(HttpExchange& exchange, const CallerRequest& request, int status,
                      const char* kind, Duration retry_after);
-    bool authorise(HttpExchange& exchange, const CallerRequest& request, Time now, RelayPlan& plan);
+    bool authorise(HttpExchange& exchange, const CallerRequest& request, Time now,
+                   RelayedCallRoute& plan);
     const Service* choose_service(const RouteTable& table, const Route& route);
     std::set<std::shared_ptr<RelayedCall>> calls() const { return calls_; }
     void tick();
@@ -120,17 +121,17 @@
     void stop(Duration last_answers);
 
     asio::io_context& io_;
-    FleetConfig config_;
+    SiteConfig config_;
     const CallerProtocol& protocol_;
     Decoder decode_;
     Identity identity_;
     ClusterKeys keys_ = ClusterKeys::none();
-    LeaseKeeper lease_;
+    LeaseHolder lease_;
     bool had_lease_ = false;
     bool ever_in_service_ = false;
     Time in_service_since_{};
-    CallerWaits waits_;
-    ArrivalHold held_; // until this host is in service for the first time
+    CallerWaitEstimator waits_;
+    StartupQueue held_; // until this host is in service for the first time
     Directory directory_;
     std::unique_ptr<HttpChannelPool> pool_;
     std::unique_ptr<HttpServer> callers_;
@@ -142,12 +143,12 @@
     std::string source_;                     // control host that pushes the document
     StoredDocument document_;
     std::shared_ptr<const RouteTable> table_;
-    std::map<std::string, RepeatBudget> budgets_; // by service
+    std::map<std::string, WindowedRetryBudget> budgets_; // by service
     std::set<std::shared_ptr<RelayedCall>> calls_;
     RegistryRepair repair_;
     std::map<EndpointId, Time> suspected_; // told control
     Quarantine quarantine_;
-    std::map<EndpointId, std::vector<CutOff>> cut_off_; // not told control yet
+    std::map<EndpointId, std::vector<AbortedRequest>> cut_off_; // not told control yet
     std::set<EndpointId> unconfirmed_; // known from before a restart, and not heard of since
     std::uint64_t calls_taken_ = 0;
     double share_ = 0.1; // this host's part of all calls under way
--- a/src/process/gatewaycontrol.cpp
+++ b/src/process/gatewaycontrol.cpp
@@ -36,12 +36,12 @@
             forget_told(address);
             tell_suspicions(address);
         },
-        [this, address](const Link::Ptr&, Wire&& m) { on_message(address, std::move(m)); },
+        [this, address](const Link::Ptr&, WireMessage&& m) { on_message(address, std::move(m)); },
         [](const Link::Ptr&) {});
     control_.emplace(address, std::move(dialer));
 }
 
-void Gateway::send_to_control(const Wire& message) {
+void Gateway::send_to_control(const WireMessage& message) {
     for (auto& [address, dialer] : control_)
         dialer->send(message);
 }
@@ -52,13 +52,13 @@
     for (const auto& [address, dialer] : control_)
         if (dialer->up()) {
             dialer->send(make_renew(address, now));
-            dialer->owe(now);
+            dialer->expect_reply(now);
         }
 }
 
 void Gateway::end_silent_links(Time now) {
     for (const auto& [address, dialer] : control_)
-        dialer->end_if_silent(now);
+        dialer->close_if_unresponsive(now);
 }
 
 // Any control host that is up, and the same one for as long as it is and has what others have. One
@@ -95,8 +95,8 @@
     return found == told_of_.end() ? 0 : found->second;
 }
 
-Renew Gateway::make_renew(const std::string& address, Time now) {
-    Renew renew;
+LeaseRenewal Gateway::make_renew(const std::string& address, Time now) {
+    LeaseRenewal renew;
     renew.entry = config_.name;
     renew.incarnation = identity_.incarnation;
     renew.lease = document_.index;
@@ -109,67 +109,67 @@
     return renew;
 }
 
-void Gateway::on_message(const std::string& address, Wire&& message) {
-    if (const auto* vouch = std::get_if<Vouch>(&message)) {
-        on_vouch(address, *vouch);
+void Gateway::on_message(const std::string& address, WireMessage&& message) {
+    if (const auto* lease_ack = std::get_if<LeaseAck>(&message)) {
+        on_lease_ack(address, *lease_ack);
     } else if (const auto* push = std::get_if<DocumentPush>(&message)) {
         on_document(*push);
     } else if (const auto* dissolved = std::get_if<GroupsDissolved>(&message)) {
         directory_.dissolve(dissolved->epochs);
     } else if (const auto* changes = std::get_if<EndpointChanges>(&message)) {
         on_changes(*changes);
-    } else if (const auto* remembered = std::get_if<EndpointsRemembered>(&message)) {
+    } else if (const auto* remembered = std::get_if<EndpointsRestored>(&message)) {
         on_remembered(*remembered);
     } else if (const auto* digests = std::get_if<RegistryDigests>(&message)) {
         on_digests(address, *digests);
-    } else if (const auto* suspicions = std::get_if<Suspicions>(&message)) {
+    } else if (const auto* suspicions = std::get_if<SuspectRequests>(&message)) {
         on_suspicions(*suspicions);
-    } else if (const auto* words = std::get_if<LimitWords>(&message)) {
+    } else if (const auto* words = std::get_if<LimitReports>(&message)) {
         on_limit_words(*words);
     } else if (const auto* leaving = std::get_if<EndpointsLeaving>(&message)) {
         on_leaving(*leaving);
-    } else if (const auto* loans = std::get_if<LimitLoans>(&message)) {
-        on_loans(address, *loans);
-    } else if (const auto* shares = std::get_if<GroupShares>(&message)) {
-        tell_every_ = std::chrono::milliseconds(shares->every_ms);
-        directory_.learn_others(shares->shares, tell_every_, BootClock::now());
+    } else if (const auto* limit_shares = std::get_if<LimitShares>(&message)) {
+        on_loans(address, *limit_shares);
+    } else if (const auto* shares = std::get_if<GroupLoadReports>(&message)) {
+        tell_every_ = std::chrono::milliseconds(shares->interval_ms);
+        directory_.set_load_of_others(shares->shares, tell_every_, BootClock::now());
     }
 }
 
-void Gateway::on_vouch(const std::string& address, const Vouch& vouch) {
+void Gateway::on_lease_ack(const std::string& address, const LeaseAck& lease_ack) {
     const Time now = BootClock::now();
-    for (const NodeId node : vouch.nodes)
+    for (const NodeId node : lease_ack.nodes)
         connect_to(address_of(node, config_.link_port));
     // What is told unasked proves that the link brings something, not that it takes anything there.
-    if (vouch.sequence != 0 || nodes_[address] != vouch.node)
+    if (lease_ack.sequence != 0 || nodes_[address] != lease_ack.node)
         control_[address]->answered();
     // The first answer tells who answers; only questions after it can prove a lease.
-    if (nodes_[address] != vouch.node) {
-        nodes_[address] = vouch.node;
+    if (nodes_[address] != lease_ack.node) {
+        nodes_[address] = lease_ack.node;
         renew_due_ = {};
     }
     const bool was_behind = lease_.behind();
-    lease_.on_vouch(vouch, document_.index, now);
-    told_of_[address] = vouch.table;
-    if (vouch.leader != NoNode)
-        leader_ = vouch.leader;
+    lease_.on_lease_ack(lease_ack, document_.index, now);
+    told_of_[address] = lease_ack.table;
+    if (lease_ack.leader != NoNode)
+        leader_ = lease_ack.leader;
     // By then the source has told of a new document too, or another host is asked for it.
-    if (vouch.table > document_.index || (lease_.behind() && !was_behind))
+    if (lease_ack.table > document_.index || (lease_.behind() && !was_behind))
         renew_due_ = std::min(renew_due_, now + RenewBehindEvery);
-    learn_share(vouch);
+    learn_share(lease_ack);
     note_lease(now);
 }
 
 // This host's part of all calls under way; an equal part where it has none.
-void Gateway::learn_share(const Vouch& vouch) {
-    if (vouch.sequence != 0 && vouch.in_flight_total > 0 && !calls_.empty()) {
+void Gateway::learn_share(const LeaseAck& lease_ack) {
+    if (lease_ack.sequence != 0 && lease_ack.in_flight_total > 0 && !calls_.empty()) {
         const double seen = static_cast<double>(calls_.size()) /
-                            std::max<double>(vouch.in_flight_total, calls_.size());
+                            std::max<double>(lease_ack.in_flight_total, calls_.size());
         share_ += ShareSmoothing * (seen - share_);
-    } else if (vouch.sequence != 0 && vouch.entries > 0 && calls_.empty()) {
-        share_ += ShareSmoothing * (1.0 / vouch.entries - share_);
+    } else if (lease_ack.sequence != 0 && lease_ack.entries > 0 && calls_.empty()) {
+        share_ += ShareSmoothing * (1.0 / lease_ack.entries - share_);
     }
-    directory_.set_others(1 / std::max(share_, LeastShare));
+    directory_.set_fleet_load_ratio(1 / std::max(share_, LeastShare));
     for (auto& [service, budget] : budgets_)
         budget.set_share(share_);
 }
@@ -185,11 +185,11 @@
 // To the control host that leads, which tells each entry host of the others. Whoever has nothing
 // under way says so once.
 void Gateway::tell_shares(Time now) {
-    tell_due_ = now + std::max(SharesEvery, tell_every_);
+    tell_due_ = now + std::max(LoadReportInterval, tell_every_);
     const auto leader = control_.find(address_of(leader_, config_.link_port));
     if (leader == control_.end() || !leader->second->up() || leader->second->backed_up())
         return;
-    GroupShares message{config_.name, 0, directory_.own_shares()};
+    GroupLoadReports message{config_.name, 0, directory_.own_load()};
     const bool has_some = !message.shares.empty();
     if (has_some || told_shares_)
         leader->second->send(message);
@@ -223,9 +223,9 @@
 // ---- endpoints
 
 // A host that has been in service for long knows better.
-void Gateway::on_remembered(const EndpointsRemembered& remembered) {
+void Gateway::on_remembered(const EndpointsRestored& remembered) {
     const Time now = BootClock::now();
-    if (ever_in_service_ && !learns_endpoints(now))
+    if (ever_in_service_ && !discovering_endpoints(now))
         return;
     std::size_t added = 0;
     for (const EndpointReport& report : remembered.reports) {
@@ -239,7 +239,7 @@
 }
 
 void Gateway::forget_unconfirmed(Time now) {
-    if (unconfirmed_.empty() || !ever_in_service_ || learns_endpoints(now))
+    if (unconfirmed_.empty() || !ever_in_service_ || discovering_endpoints(now))
         return;
     log(LogLevel::Info, "endpoints not heard of again",
         {{"count", std::to_string(unconfirmed_.size())}});
@@ -262,7 +262,7 @@
                 forget_connections(item->report);
     }
     // Ended by another's word: a later start under their name, or one that told no start.
-    for (const EndpointId& id : directory_.registry().take_settled()) {
+    for (const EndpointId& id : directory_.registry().take_resolved()) {
         changed = true;
         if (const auto* item = directory_.registry().find(id))
             forget_connections(item->report);
@@ -280,16 +280,16 @@
         repair_.compare(address, digests.ranges, directory_.registry().range_digests(),
                         address == source_, BootClock::now());
     if (!wanted.empty())
-        control_[address]->send(RangesWanted{wanted});
+        control_[address]->send(RangesRequested{wanted});
 }
 
 // Not only at the next digests: these come once a second, and callers wait.
 void Gateway::ask_for_agreed(Time now) {
-    if (!learns_endpoints(now))
+    if (!discovering_endpoints(now))
         return;
-    const auto ask = repair_.agreed(directory_.registry().range_digests(), now);
+    const auto ask = repair_.agreed_ranges(directory_.registry().range_digests(), now);
     if (ask)
-        control_[ask->host]->send(RangesWanted{ask->ranges});
+        control_[ask->host]->send(RangesRequested{ask->ranges});
 }
 
 // Those to a newer start at the address are as good as before.
@@ -299,7 +299,7 @@
 }
 
 // Control hosts that lost everything with this one hear of each endpoint within a beat.
-bool Gateway::learns_endpoints(Time now) const {
+bool Gateway::discovering_endpoints(Time now) const {
     return now - in_service_since_ < config_.bounds.beat + BeatSlack;
 }
 
--- a/src/process/gatewayanswers.cpp
+++ b/src/process/gatewaylimits.cpp
@@ -40,23 +40,23 @@
                 {{"endpoint", text_of(id)}, {"from", "control"}});
 }
 
-void Gateway::note_rest(const EndpointId& id, const AnswerNote& note) {
-    if (note.rest_fault != NumberFault::None) {
-        ignored(id, "rest", note.rest_fault);
+void Gateway::note_backoff(const EndpointId& id, const ResponseSignals& note) {
+    if (note.backoff_fault != NumberFault::None) {
+        ignored(id, "rest", note.backoff_fault);
         return;
     }
-    directory_.let_rest(id, note.rest, BootClock::now());
+    directory_.back_off(id, note.backoff, BootClock::now());
     Metrics::instance().counter("liftweir_rests_asked").add();
     log(LogLevel::Info, "endpoint asks for rest",
-        {{"endpoint", text_of(id)}, {"rest_ms", std::to_string(to_millis(note.rest))}});
+        {{"endpoint", text_of(id)}, {"rest_ms", std::to_string(to_millis(note.backoff))}});
 }
 
-void Gateway::note_limit(const EndpointId& id, const AnswerNote& note, Time sent) {
+void Gateway::note_limit(const EndpointId& id, const ResponseSignals& note, Time sent) {
     if (note.limit_fault != NumberFault::None) {
         ignored(id, "limit", note.limit_fault);
         return;
     }
-    if (!directory_.limits().book().heard(id, note.limit_per_second, sent))
+    if (!directory_.limits().book().add_report(id, note.limit_per_second, sent))
         return;
     limit_changed(id, "answer");
     tell_limits(BootClock::now());
@@ -64,25 +64,25 @@
 
 // All of them each time: they are few, and a control host that has just begun knows none.
 void Gateway::tell_limits(Time now) {
-    const LimitBook& book = directory_.limits().book();
+    const ReportedLimits& book = directory_.limits().book();
     if (!book.empty())
-        send_to_control(LimitWords{book.words(now)});
+        send_to_control(LimitReports{book.reports(now)});
 }
 
-void Gateway::on_limit_words(const LimitWords& told) {
+void Gateway::on_limit_words(const LimitReports& told) {
     const Time now = BootClock::now();
-    for (const LimitWord& word : told.words)
+    for (const LimitReport& word : told.reports)
         if (directory_.limits().book().merge(word, now))
             limit_changed(word.endpoint, "control");
 }
 
 // What was on its way for long has ended sooner: the lender counts from when it was asked, too.
-void Gateway::on_loans(const std::string& address, const LimitLoans& lent) {
+void Gateway::on_loans(const std::string& address, const LimitShares& lent) {
     const auto node = nodes_.find(address);
     if (node == nodes_.end())
         return;
     if (const auto asked = lease_.asked_at(node->second, lent.sequence))
-        directory_.limits().lend(lent.loans, *asked + LoanTime);
+        directory_.limits().grant_shares(lent.limit_shares, *asked + LimitShareTime);
 }
 
 } // namespace liftweir
--- a/src/process/groupleader.cpp
+++ b/src/process/groupcontroller.cpp
@@ -1,16 +1,16 @@
-#include "process/groupleader.h"
+#include "process/groupcontroller.h"
 
 #include "process/metrics.h"
 
 namespace liftweir {
 
-GroupPlanner* GroupLeader::planner_of(const std::string& service) {
+GroupPlanner* GroupController::planner_of(const std::string& service) {
     const auto found = planners_.find(service);
     return found == planners_.end() ? nullptr : &found->second;
 }
 
-void GroupLeader::configure(const std::string& service, const EngineCost& engine,
-                            const State& state, const Registry& registry, Time now) {
+void GroupController::configure(const std::string& service, const EngineCost& engine,
+                                const State& state, const Registry& registry, Time now) {
     const auto [planner, is_new] = planners_.try_emplace(service, service, bounds_, first_start_);
     planner->second.configure(engine);
     if (!is_new)
@@ -20,35 +20,36 @@
             planner->second.observe(item.report, now);
     if (leadership_)
         planner->second.take_over(leadership_->term, leadership_->since,
-                                  state.planned_groups(service), leadership_->several_before);
+                                  state.planned_groups(service),
+                                  leadership_->several_recent_leaders);
 }
 
-void GroupLeader::observe(const EndpointReport& report, Time now) {
+void GroupController::observe(const EndpointReport& report, Time now) {
     if (GroupPlanner* planner = planner_of(report.service))
         planner->observe(report, now);
 }
 
-void GroupLeader::traffic_began() {
+void GroupController::traffic_began() {
     for (auto& [service, planner] : planners_)
         planner.traffic_began();
 }
 
-void GroupLeader::suspect(Epoch epoch, Time now) {
+void GroupController::suspect(Epoch epoch, Time now) {
     for (auto& [service, planner] : planners_)
         planner.suspect(epoch, now);
 }
 
 // ---- leadership
 
-void GroupLeader::take_over(const Leadership& leadership, const State& state) {
+void GroupController::take_over(const Leadership& leadership, const State& state) {
     step_down();
     leadership_ = leadership;
     for (auto& [service, planner] : planners_)
         planner.take_over(leadership.term, leadership.since, state.planned_groups(service),
-                          leadership.several_before);
+                          leadership.several_recent_leaders);
 }
 
-void GroupLeader::step_down() {
+void GroupController::step_down() {
     leadership_.reset();
     recorded_.clear();
     queued_.clear();
@@ -56,7 +57,7 @@
 
 // ---- one round
 
-bool GroupLeader::plan(Replica& replica, const Registry& registry, Time now) {
+bool GroupController::plan(Replica& replica, const Registry& registry, Time now) {
     bool asked = false;
     for (auto& [service, planner] : planners_) {
         queue(service, planner.plan(registry, now));
@@ -67,7 +68,7 @@
 
 // Groups are in the log before any of their members is ordered. Where they do not get there, the
 // next leader finds them in the log, or none was ordered.
-bool GroupLeader::record(Replica& replica, const std::string& service, GroupPlanner& planner) {
+bool GroupController::record(Replica& replica, const std::string& service, GroupPlanner& planner) {
     const GroupChanges changes = planner.take_changes();
     if (changes.empty())
         return false;
@@ -82,7 +83,7 @@
 }
 
 // What was asked for in an earlier term the takeover has read from the log already.
-void GroupLeader::settle(const Registry& registry, Time now) {
+void GroupController::settle(const Registry& registry, Time now) {
     for (const Recorded& item : std::exchange(recorded_, {})) {
         GroupPlanner* planner = planner_of(item.service);
         if (planner != nullptr && leadership_ && leadership_->term == item.term)
@@ -90,18 +91,18 @@
     }
 }
 
-void GroupLeader::queue(const std::string& service, const std::vector<EndpointOrder>& orders) {
+void GroupController::queue(const std::string& service, const std::vector<EndpointOrder>& orders) {
     for (const EndpointOrder& order : orders)
         queued_.add({service, order});
 }
 
-void GroupLeader::answered(const OrderQueue::Item& item, OrderAnswer answer, Time now) {
+void GroupController::answered(const OrderQueue::Item& item, OrderAnswer answer, Time now) {
     queued_.ended();
     if (GroupPlanner* planner = planner_of(item.service))
         planner->answered(item.order, answer, now);
 }
 
-std::vector<GroupLeader::Probe> GroupLeader::take_probes() {
+std::vector<GroupController::Probe> GroupController::take_probes() {
     std::vector<Probe> probes;
     for (auto& [service, planner] : planners_)
         for (const EndpointId& id : planner.take_probes())
@@ -109,12 +110,12 @@
     return probes;
 }
 
-void GroupLeader::probed(const Probe& probe, bool alive, Time now) {
+void GroupController::probed(const Probe& probe, bool alive, Time now) {
     if (GroupPlanner* planner = planner_of(probe.service))
         planner->probed(probe.endpoint, alive, now);
 }
 
-std::vector<PlanEvent> GroupLeader::take_events() {
+std::vector<PlanEvent> GroupController::take_events() {
     std::vector<PlanEvent> events;
     for (auto& [service, planner] : planners_)
         for (PlanEvent& event : planner.take_events())
@@ -124,7 +125,7 @@
 
 // ---- what others are told
 
-std::set<Epoch> GroupLeader::dissolved(const Registry& registry) const {
+std::set<Epoch> GroupController::dissolved(const Registry& registry) const {
     std::set<Epoch> all;
     for (const auto& [service, planner] : planners_)
         for (const Epoch epoch : planner.dissolved(registry))
@@ -132,7 +133,7 @@
     return all;
 }
 
-std::map<std::string, std::string> GroupLeader::layouts(const Registry& registry, Time now) {
+std::map<std::string, std::string> GroupController::layouts(const Registry& registry, Time now) {
     std::map<std::string, std::string> lines;
     for (auto& [service, planner] : planners_)
         lines[service] = planner.layout(registry, now);
--- a/src/process/groupleader.h
+++ b/src/process/groupcontroller.h
@@ -1,5 +1,5 @@
-#ifndef GROUPLEADER_H_INCLUDED
-#define GROUPLEADER_H_INCLUDED
+#ifndef GROUPCONTROLLER_H_INCLUDED
+#define GROUPCONTROLLER_H_INCLUDED
 
 #include "process/groupplanner.h"
 #include "process/orderqueue.h"
@@ -17,13 +17,14 @@
 // What a control host has for the groups of all services: a planner for each, what the replicated
 // log has to hold before an order goes out, and the orders that wait. Every control host observes;
 // only the leader plans. Pure: no I/O but through the replica, no clock but the times it is given.
-class GroupLeader {
+class GroupController {
   public:
     // How a control host came to lead.
     struct Leadership {
         Term term = 0;
         Time since{};
-        bool several_before = false; // leaders within the last window in which loads are counted
+        bool several_recent_leaders =
+            false; // leaders within the last window in which loads are counted
 
         auto operator<=>(const Leadership&) const = default;
     };
@@ -34,7 +35,7 @@
         auto operator<=>(const Probe&) const = default;
     };
 
-    GroupLeader(PlannerBounds bounds, bool first_start)
+    GroupController(GroupPlannerConfig bounds, bool first_start)
         : bounds_(bounds), first_start_(first_start) {}
 
     // The operators' figures for the service's engine. A planner that begins later than the
@@ -85,7 +86,7 @@
     void queue(const std::string& service, const std::vector<EndpointOrder>& orders);
     GroupPlanner* planner_of(const std::string& service);
 
-    PlannerBounds bounds_;
+    GroupPlannerConfig bounds_;
     bool first_start_;
     std::optional<Leadership> leadership_;
     std::map<std::string, GroupPlanner> planners_; // by service
@@ -95,4 +96,4 @@
 
 } // namespace liftweir
 
-#endif // GROUPLEADER_H_INCLUDED
+#endif // GROUPCONTROLLER_H_INCLUDED
--- a/src/process/groupplanner.cpp
+++ b/src/process/groupplanner.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-GroupPlanner::GroupPlanner(std::string service, PlannerBounds bounds, bool first_start)
+GroupPlanner::GroupPlanner(std::string service, GroupPlannerConfig bounds, bool first_start)
     : service_(std::move(service)), bounds_(bounds), traffic_(!first_start) {}
 
 void GroupPlanner::configure(const EngineCost& engine) {
@@ -111,13 +111,13 @@
 
 // What this host formed and the log does not have was never ordered.
 void GroupPlanner::take_over(std::uint64_t term, Time now, const PlannedGroups& recorded,
-                             bool several_before) {
+                             bool several_recent_leaders) {
     term_ = term;
     counter_ = 0;
     took_over_ = now;
     // Loads before the first request are not counted, whoever began them.
     if (traffic_)
-        loads_.assume_begun(several_before, now);
+        loads_.assume_begun(several_recent_leaders, now);
     changes_ = {};
     for (auto& [id, host] : hosts_)
         host.ordered = false;
@@ -212,9 +212,9 @@
         return false;
     const auto host = hosts_.find(id);
     if (host != hosts_.end() && now < host->second.silent_until &&
-        item->heard < host->second.silent_until - SilentFor)
+        item->last_contact < host->second.silent_until - SilentFor)
         return false;
-    return now - item->heard < BeatsMissed * bounds_.beat + BeatSlack;
+    return now - item->last_contact < BeatsMissed * bounds_.beat + BeatSlack;
 }
 
 // The member is not in the group, and nothing that is under way can bring it back: it has confirmed
--- a/src/process/groupplanner.h
+++ b/src/process/groupplanner.h
@@ -26,11 +26,11 @@
 };
 
 // What the planner needs of the settings.
-struct PlannerBounds {
+struct GroupPlannerConfig {
     Duration beat = std::chrono::milliseconds(1200); // between two reports of an endpoint
     Duration load_window = std::chrono::seconds(5);
 
-    auto operator<=>(const PlannerBounds&) const = default;
+    auto operator<=>(const GroupPlannerConfig&) const = default;
 };
 
 // What the replicated log has to hold of the planner's groups before it goes on.
@@ -48,17 +48,17 @@
 // Pure: no I/O, no clock but the times it is given.
 class GroupPlanner {
   public:
-    GroupPlanner(std::string service, PlannerBounds bounds, bool first_start);
+    GroupPlanner(std::string service, GroupPlannerConfig bounds, bool first_start);
 
     // The operators' figures for the engine; nothing is planned before the first ones.
     void configure(const EngineCost& engine);
     // Every change of a report, on every control host, whether it leads or not.
     void observe(const EndpointReport& report, Time now);
     // This host leads from now on. Epochs and fences of a higher term are higher. `recorded` are
-    // all groups that any leader before may have ordered; `several_before` tells that more than one
-    // may have begun loads within the last window.
+    // all groups that any leader before may have ordered; `several_recent_leaders` tells that more
+    // than one may have begun loads within the last window.
     void take_over(std::uint64_t term, Time now, const PlannedGroups& recorded = {},
-                   bool several_before = false);
+                   bool several_recent_leaders = false);
     // Callers' requests have begun: loads are slow, priced and limited from now on.
     void traffic_began() { traffic_ = true; }
     // An entry host sees all streams of a group stand still.
@@ -223,7 +223,7 @@
     static constexpr unsigned CounterBits = 20;
 
     std::string service_;
-    PlannerBounds bounds_;
+    GroupPlannerConfig bounds_;
     EngineCost engine_;
     bool configured_ = false;
     // Only in the first life of the whole system may there be none yet. A control host that comes
--- a/src/process/groupprogress.cpp
+++ b/src/process/groupprogress.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Duration ProbeEvery = std::chrono::milliseconds(400);
-// Suspicion that is not renewed for so long is over.
+// SuspectRequest that is not renewed for so long is over.
 constexpr Duration SuspicionKept = std::chrono::milliseconds(900);
 // Endpoints let a leaving member's group finish for 10 s at most.
 constexpr Duration MostClosing = std::chrono::seconds(10);
--- a/src/process/leasekeeper.h
+++ b/src/process/leaseholder.h
@@ -1,9 +1,9 @@
-#ifndef LEASEKEEPER_H_INCLUDED
-#define LEASEKEEPER_H_INCLUDED
+#ifndef LEASEHOLDER_H_INCLUDED
+#define LEASEHOLDER_H_INCLUDED
 
 #include "connection/wire.h"
 #include "process/clock.h"
-#include "process/inforce.h"
+#include "process/settingsrollout.h"
 
 #include <map>
 #include <optional>
@@ -13,9 +13,9 @@
 // An entry host's settings lease. It may admit new work while a majority of control hosts has
 // vouched lately that their logs hold nothing above the version that it has. No leader is
 // needed: any majority of vouchers shares a host with any majority that accepts a change.
-class LeaseKeeper {
+class LeaseHolder {
   public:
-    LeaseKeeper(Voters voters, Incarnation incarnation, Duration length = SettingsLease)
+    LeaseHolder(Voters voters, Incarnation incarnation, Duration length = SettingsLease)
         : voters_(std::move(voters)), incarnation_(incarnation), length_(length) {}
 
     // The next question to one control host.
@@ -23,7 +23,7 @@
     // When the question left; empty where it was answered, or is too old to tell.
     std::optional<Time> asked_at(NodeId node, std::uint64_t sequence) const;
     // `lease` is the version that this entry host holds now.
-    void on_vouch(const Vouch& vouch, Version lease, Time now);
+    void on_lease_ack(const LeaseAck& lease_ack, Version lease, Time now);
     // End of the lease; Time{} where it never began.
     Time valid_until() const;
     // A control host has something newer than this entry host.
@@ -32,7 +32,7 @@
     Incarnation incarnation() const { return incarnation_; }
 
   private:
-    struct Voucher {
+    struct LeaseAcceptor {
         std::map<std::uint64_t, Time> asked;
         Time proved{};
     };
@@ -43,9 +43,9 @@
     Duration length_;
     std::uint64_t next_ = 1;
     bool behind_ = false;
-    std::map<NodeId, Voucher> vouchers_;
+    std::map<NodeId, LeaseAcceptor> acceptors_;
 };
 
 } // namespace liftweir
 
-#endif // LEASEKEEPER_H_INCLUDED
+#endif // LEASEHOLDER_H_INCLUDED
--- a/src/process/limitlender.cpp
+++ b/src/process/limitallocator.cpp
@@ -1,4 +1,4 @@
-#include "process/limitlender.h"
+#include "process/limitallocator.h"
 
 #include <algorithm>
 #include <cmath>
@@ -36,15 +36,15 @@
 
 } // namespace
 
-void LimitLender::take_over(Time now) {
+void LimitAllocator::take_over(Time now) {
     entries_.clear();
     loans_.clear();
     splits_.clear();
-    lends_from_ = now + LoanTime + TakeoverMargin;
+    lends_from_ = now + LimitShareTime + TakeoverMargin;
 }
 
-void LimitLender::seen(const std::string& entry, Incarnation incarnation, std::uint64_t calls,
-                       Time now) {
+void LimitAllocator::seen(const std::string& entry, Incarnation incarnation, std::uint64_t calls,
+                          Time now) {
     const auto [found, fresh] = entries_.try_emplace(entry);
     Entry& known = found->second;
     const double seconds = to_seconds(now - known.seen);
@@ -64,7 +64,8 @@
 
 // By weighted rendezvous: of several limits, each goes to other entry hosts, and rather to those
 // with many callers. A limit that gives each of them too little is split between fewer.
-LimitLender::Parts LimitLender::make_split(const LimitWord& limit, const Parts& before) const {
+LimitAllocator::Parts LimitAllocator::make_split(const LimitReport& limit,
+                                                 const Parts& before) const {
     struct Ranked {
         double score;
         double weight;
@@ -87,7 +88,7 @@
             sum += ranked[n].weight;
             least = std::min(least, ranked[n].weight);
         }
-        return least / sum * limit.per_second >= LeastLoanPerSecond;
+        return least / sum * limit.per_second >= LeastSharePerSecond;
     };
     while (ranked.size() > 1 && !splits(ranked.size()))
         ranked.pop_back();
@@ -100,7 +101,7 @@
     return parts;
 }
 
-LimitLender::Parts LimitLender::settled(Parts parts, const Parts& before) {
+LimitAllocator::Parts LimitAllocator::settled(Parts parts, const Parts& before) {
     const auto same = [](const auto& a, const auto& b) {
         return a.first == b.first && std::abs(a.second - b.second) <= PartTolerance * b.second;
     };
@@ -108,7 +109,7 @@
     return keep ? before : parts;
 }
 
-const LimitLender::Parts& LimitLender::split(const LimitWord& limit, Time now) {
+const LimitAllocator::Parts& LimitAllocator::split(const LimitReport& limit, Time now) {
     Split& kept = splits_[limit.endpoint];
     const bool complete = std::all_of(kept.parts.begin(), kept.parts.end(), [&](const auto& part) {
         return entries_.contains(part.first);
@@ -119,49 +120,51 @@
     return kept.parts;
 }
 
-double LimitLender::lent_to_others(const Loans& loans, const std::string& entry, Time now) {
+double LimitAllocator::lent_to_others(const Loans& limit_shares, const std::string& entry,
+                                      Time now) {
     double sum = 0;
-    for (const auto& [name, lent] : loans) {
+    for (const auto& [name, lent] : limit_shares) {
         if (name == entry)
             continue;
         double most = 0;
-        for (const Loan& loan : lent)
-            if (loan.until > now)
-                most = std::max(most, loan.part);
+        for (const Loan& limit_share : lent)
+            if (limit_share.until > now)
+                most = std::max(most, limit_share.part);
         sum += most;
     }
     return sum;
 }
 
 // A smaller part counts once the larger one before it has ended: the message may be lost.
-std::optional<std::vector<LimitLoan>> LimitLender::lend(const std::string& entry,
-                                                        const LimitBook& limits, Time now) {
+std::optional<std::vector<LimitShare>>
+LimitAllocator::grant_shares(const std::string& entry, const ReportedLimits& limits, Time now) {
     if (now < lends_from_)
         return {};
-    std::vector<LimitLoan> out;
-    for (const LimitWord& limit : limits.words(now)) {
+    std::vector<LimitShare> out;
+    for (const LimitReport& limit : limits.reports(now)) {
         if (limit.per_second <= 0)
             continue;
-        Loans& loans = loans_[limit.endpoint];
+        Loans& limit_shares = loans_[limit.endpoint];
         const Parts& parts = split(limit, now);
         const auto wanted = parts.find(entry);
-        const double left = 1 - lent_to_others(loans, entry, now);
+        const double left = 1 - lent_to_others(limit_shares, entry, now);
         double part = wanted == parts.end() ? 0 : std::min(wanted->second, left);
-        if (part * limit.per_second < LeastLoanPerSecond / 2 && part < 1)
+        if (part * limit.per_second < LeastSharePerSecond / 2 && part < 1)
             part = 0;
         if (part > 0)
-            loans[entry].push_back({part, now + LoanTime});
+            limit_shares[entry].push_back({part, now + LimitShareTime});
         out.push_back({limit.endpoint, part});
     }
     return out;
 }
 
-void LimitLender::expire(Time now) {
-    std::erase_if(entries_, [&](const auto& item) { return now - item.second.seen > LoanTime; });
-    for (auto& [endpoint, loans] : loans_) {
-        for (auto& [entry, lent] : loans)
-            std::erase_if(lent, [&](const Loan& loan) { return loan.until <= now; });
-        std::erase_if(loans, [](const auto& item) { return item.second.empty(); });
+void LimitAllocator::expire(Time now) {
+    std::erase_if(entries_,
+                  [&](const auto& item) { return now - item.second.seen > LimitShareTime; });
+    for (auto& [endpoint, limit_shares] : loans_) {
+        for (auto& [entry, lent] : limit_shares)
+            std::erase_if(lent, [&](const Loan& limit_share) { return limit_share.until <= now; });
+        std::erase_if(limit_shares, [](const auto& item) { return item.second.empty(); });
     }
     std::erase_if(loans_, [](const auto& item) { return item.second.empty(); });
     std::erase_if(splits_,
--- a/src/process/limitlender.h
+++ b/src/process/limitallocator.h
@@ -1,8 +1,8 @@
-#ifndef LIMITLENDER_H_INCLUDED
-#define LIMITLENDER_H_INCLUDED
+#ifndef LIMITALLOCATOR_H_INCLUDED
+#define LIMITALLOCATOR_H_INCLUDED
 
 #include "process/clock.h"
-#include "process/limitbook.h"
+#include "process/reportedlimits.h"
 #include "version/state.h"
 
 #include <compare>
@@ -16,31 +16,31 @@
 namespace liftweir {
 
 // The part of an endpoint's limit that one entry host may use.
-struct LimitLoan {
+struct LimitShare {
     EndpointId endpoint;
     double part = 0; // 0 to 1
 
-    auto operator<=>(const LimitLoan&) const = default;
+    auto operator<=>(const LimitShare&) const = default;
     MSGPACK_DEFINE(endpoint, part)
 };
 
 // A loan ends so long after the entry host asked for it.
-constexpr Duration LoanTime = std::chrono::seconds(3);
+constexpr Duration LimitShareTime = std::chrono::seconds(3);
 // Requests a second below which a part is not worth having: a limit is split into no more parts
 // than that.
-constexpr double LeastLoanPerSecond = 0.75;
+constexpr double LeastSharePerSecond = 0.75;
 
 // Splits the limits of endpoints between entry hosts, at the control host that leads. The parts of
 // an endpoint that may be in use at any moment add up to one at most, whatever gets lost. Pure.
-class LimitLender {
+class LimitAllocator {
   public:
     // Leaders before may have lent, so nothing is lent until that has ended.
     void take_over(Time now);
     // The entry host has taken so many requests since it started.
     void seen(const std::string& entry, Incarnation incarnation, std::uint64_t calls, Time now);
-    // What the entry host may use for LoanTime; empty where this host may not lend yet.
-    std::optional<std::vector<LimitLoan>> lend(const std::string& entry, const LimitBook& limits,
-                                               Time now);
+    // What the entry host may use for LimitShareTime; empty where this host may not lend yet.
+    std::optional<std::vector<LimitShare>> grant_shares(const std::string& entry,
+                                                        const ReportedLimits& limits, Time now);
     // Forgets entry hosts that do not ask any more, and loans that have ended.
     void expire(Time now);
 
@@ -65,10 +65,10 @@
         Parts parts;
     };
 
-    const Parts& split(const LimitWord& limit, Time now);
-    Parts make_split(const LimitWord& limit, const Parts& before) const;
+    const Parts& split(const LimitReport& limit, Time now);
+    Parts make_split(const LimitReport& limit, const Parts& before) const;
     static Parts settled(Parts parts, const Parts& before);
-    static double lent_to_others(const Loans& loans, const std::string& entry, Time now);
+    static double lent_to_others(const Loans& limit_shares, const std::string& entry, Time now);
 
     std::map<std::string, Entry> entries_;
     std::map<EndpointId, Loans> loans_;
@@ -78,4 +78,4 @@
 
 } // namespace liftweir
 
-#endif // LIMITLENDER_H_INCLUDED
+#endif // LIMITALLOCATOR_H_INCLUDED
--- a/src/process/logging.cpp
+++ b/src/process/logging.cpp
@@ -37,7 +37,7 @@
     : public blog::sinks::basic_formatted_sink_backend<char, blog::sinks::synchronized_feeding> {
   public:
     void consume(const blog::record_view&, const string_type& line) {
-        if (!write_line_now(STDOUT_FILENO, line)) {
+        if (!try_write_line(STDOUT_FILENO, line)) {
             budget.dropped("reader is behind");
             Metrics::instance().counter("liftweir_log_lines_dropped").add();
         }
@@ -87,7 +87,7 @@
     return used_++ < per_second_;
 }
 
-bool write_line_now(int descriptor, std::string_view line) {
+bool try_write_line(int descriptor, std::string_view line) {
     std::string bytes(line.substr(0, LongestLine - 1));
     bytes += '\n';
     pollfd wait{descriptor, POLLOUT, 0};
@@ -124,7 +124,7 @@
             LogFields counts;
             for (const auto& [what, count] : budget.take_dropped())
                 counts.emplace_back(what, std::to_string(count));
-            write_line_now(STDOUT_FILENO, as_json(LogLevel::Warning, "lines dropped", counts));
+            try_write_line(STDOUT_FILENO, as_json(LogLevel::Warning, "lines dropped", counts));
         }
     }
     static blog::sources::severity_logger_mt<Severity> logger;
--- a/src/process/logging.h
+++ b/src/process/logging.h
@@ -36,7 +36,7 @@
 };
 
 // Writes one line to a descriptor if that can be done at once; false where its reader is behind.
-bool write_line_now(int descriptor, std::string_view line);
+bool try_write_line(int descriptor, std::string_view line);
 
 // One JSON object a line on standard output, or text where that is a terminal.
 void start_logging(const std::string& process);
--- a/src/process/metrics.cpp
+++ b/src/process/metrics.cpp
@@ -34,10 +34,10 @@
 
 std::string link_bytes_by_kind(const LinkCounters& links) {
     std::string out = "# TYPE liftweir_link_sent_bytes_total counter\n";
-    for (std::size_t n = 0; n < WireNames.size(); ++n)
+    for (std::size_t n = 0; n < MessageNames.size(); ++n)
         if (const std::uint64_t bytes = links.sent[n]; bytes > 0)
-            out += "liftweir_link_sent_bytes_total{kind=\"" + std::string(WireNames[n]) + "\"} " +
-                   std::to_string(bytes) + "\n";
+            out += "liftweir_link_sent_bytes_total{kind=\"" + std::string(MessageNames[n]) +
+                   "\"} " + std::to_string(bytes) + "\n";
     return out;
 }
 
--- a/src/process/pass.h
+++ b/src/process/pass.h
@@ -6,7 +6,7 @@
 namespace liftweir {
 
 // What one run of the planner works on: its inputs, what it has promised so far, its commands.
-struct Planner::Pass {
+struct PlacementPlanner::Pass {
     const State& state;
     const std::map<std::string, PlacementSettings>& by_site;
     Time now;
@@ -43,9 +43,9 @@
         return count_groups(site, model, [](const Group&) { return true; });
     }
 
-    bool domain_in_doubt(const Planner& planner, const std::string& domain) const;
-    void drop_surplus(const Planner& planner, const std::string& site, const WantedModel& wanted,
-                      std::size_t surplus);
+    bool domain_in_doubt(const PlacementPlanner& planner, const std::string& domain) const;
+    void drop_surplus(const PlacementPlanner& planner, const std::string& site,
+                      const WantedModel& wanted, std::size_t surplus);
 };
 
 } // namespace liftweir
--- a/src/process/placement.cpp
+++ b/src/process/placement.cpp
@@ -68,7 +68,7 @@
     return "unknown";
 }
 
-void Planner::reset(Time now) {
+void PlacementPlanner::reset(Time now) {
     hosts_.clear();
     groups_.clear();
     decisions_.clear();
@@ -76,7 +76,8 @@
     started_ = accounted_ = now;
 }
 
-void Planner::emit(EventKind kind, const std::string& host, Epoch group, std::string detail) {
+void PlacementPlanner::emit(EventKind kind, const std::string& host, Epoch group,
+                            std::string detail) {
     Event event;
     event.kind = kind;
     event.host = host;
@@ -85,11 +86,11 @@
     events_.push_back(std::move(event));
 }
 
-std::vector<Event> Planner::take_events() {
+std::vector<Event> PlacementPlanner::take_events() {
     return std::exchange(events_, {});
 }
 
-void Planner::observe(const AgentStatus& status, Time now) {
+void PlacementPlanner::observe(const AgentStatus& status, Time now) {
     HostView& view = hosts_[status.host];
     if (view.status.incarnation != status.incarnation)
         view.resident.reset();
@@ -102,18 +103,18 @@
     view.heard = now;
 }
 
-bool Planner::silent(const Host& host, const PlacementSettings& settings, Time now) const {
+bool PlacementPlanner::silent(const Host& host, const PlacementSettings& settings, Time now) const {
     const auto view = hosts_.find(host.spec.name);
     const Time heard = view == hosts_.end() ? started_ : std::max(started_, view->second.heard);
     return now - heard > settings.silent_after;
 }
 
-bool Planner::serving(Epoch epoch) const {
+bool PlacementPlanner::serving(Epoch epoch) const {
     const auto view = groups_.find(epoch);
     return view != groups_.end() && view->second.open;
 }
 
-bool Planner::usable(const Pass& pass, const Host& host) const {
+bool PlacementPlanner::usable(const Pass& pass, const Host& host) const {
     const auto view = hosts_.find(host.spec.name);
     if (view == hosts_.end() || view->second.status.incarnation != host.incarnation)
         return false;
@@ -124,7 +125,7 @@
 
 // Its agent is heard, but will never hold its part again: it has promised to refuse the epoch, as
 // it does when the process of its endpoint ends.
-bool Planner::has_left(const Group& group, const Host& host) const {
+bool PlacementPlanner::has_left(const Group& group, const Host& host) const {
     const auto view = hosts_.find(host.spec.name);
     if (view == hosts_.end() || view->second.status.incarnation != host.incarnation)
         return false;
@@ -132,7 +133,8 @@
     return status.endpoint_gone || (status.held == NoEpoch && status.fence >= group.epoch);
 }
 
-std::vector<HostName> Planner::missing_members(const Pass& pass, const Group& group) const {
+std::vector<HostName> PlacementPlanner::missing_members(const Pass& pass,
+                                                        const Group& group) const {
     std::vector<HostName> missing;
     for (const Member& member : group.members) {
         const Host& host = pass.state.hosts().at(member.host);
@@ -143,9 +145,9 @@
     return missing;
 }
 
-std::vector<Command> Planner::plan(const State& state,
-                                   const std::map<std::string, PlacementSettings>& by_site,
-                                   Time now) {
+std::vector<Command> PlacementPlanner::plan(const State& state,
+                                            const std::map<std::string, PlacementSettings>& by_site,
+                                            Time now) {
     Pass pass{state, by_site, now};
     note_silence(pass);
     account(pass);
@@ -160,7 +162,7 @@
 }
 
 // Brings the views up to date with the state, and learns from hosts that went silent or returned.
-void Planner::note_silence(Pass& pass) {
+void PlacementPlanner::note_silence(Pass& pass) {
     std::erase_if(groups_, [&](const auto& g) { return !pass.state.groups().contains(g.first); });
     std::erase_if(decisions_,
                   [&](const auto& d) { return !pass.state.groups().contains(d.first); });
@@ -203,7 +205,7 @@
             emit(EventKind::DomainDark, domain, NoEpoch, std::to_string(count) + " hosts silent");
 }
 
-void Planner::account(const Pass& pass) {
+void PlacementPlanner::account(const Pass& pass) {
     const double dt = std::chrono::duration<double>(pass.now - accounted_).count();
     accounted_ = pass.now;
     for (const auto& [site, settings] : pass.by_site)
@@ -222,7 +224,7 @@
 
 // A host is free again only when its agent, in the current incarnation, says that it holds
 // nothing and refuses everything up to the old epoch.
-void Planner::acknowledge_releases(Pass& pass) {
+void PlacementPlanner::acknowledge_releases(Pass& pass) {
     for (const auto& [name, host] : pass.state.hosts()) {
         const auto view = hosts_.find(name);
         if (host.bound == NoEpoch || view == hosts_.end())
@@ -237,7 +239,7 @@
     }
 }
 
-void Planner::finish_drains(Pass& pass) {
+void PlacementPlanner::finish_drains(Pass& pass) {
     for (const auto& [epoch, group] : pass.state.groups()) {
         if (group.phase != GroupPhase::Draining)
             continue;
@@ -255,7 +257,7 @@
     }
 }
 
-void Planner::repair_broken(Pass& pass) {
+void PlacementPlanner::repair_broken(Pass& pass) {
     for (const auto& [epoch, group] : pass.state.groups()) {
         if (group.phase != GroupPhase::Active || pass.touched.contains(epoch))
             continue;
@@ -267,7 +269,8 @@
     }
 }
 
-bool Planner::Pass::domain_in_doubt(const Planner& planner, const std::string& domain) const {
+bool PlacementPlanner::Pass::domain_in_doubt(const PlacementPlanner& planner,
+                                             const std::string& domain) const {
     for (const auto& [name, host] : state.hosts()) {
         if (host.spec.domain != domain || host.spec.role != HostRole::Engine ||
             host.mode == HostMode::Forgotten)
@@ -283,7 +286,8 @@
     return false;
 }
 
-void Planner::repair(Pass& pass, const Group& group, const std::vector<HostName>& missing) {
+void PlacementPlanner::repair(Pass& pass, const Group& group,
+                              const std::vector<HostName>& missing) {
     RepairDecision decision = price(pass, group, missing);
     const RepairChoice best = decision.choices.front();
     const auto known = decisions_.find(group.epoch);
@@ -309,7 +313,7 @@
 }
 
 // A load that takes far too long, or a cut that only the lead sees.
-void Planner::drop_stuck(Pass& pass) {
+void PlacementPlanner::drop_stuck(Pass& pass) {
     for (const auto& [epoch, group] : pass.state.groups()) {
         GroupView& view = groups_[epoch];
         if (view.open)
@@ -338,7 +342,7 @@
 
 // Make before break: the replacement of a group with a leaving host is formed first where
 // enough hosts are free.
-void Planner::drain_leaving(Pass& pass) {
+void PlacementPlanner::drain_leaving(Pass& pass) {
     for (const auto& [epoch, group] : pass.state.groups()) {
         if (group.phase != GroupPhase::Active || pass.touched.contains(epoch))
             continue;
@@ -373,7 +377,7 @@
 }
 
 // One group at a time, and only while the rest of the model's groups serve.
-void Planner::roll_versions(Pass& pass) {
+void PlacementPlanner::roll_versions(Pass& pass) {
     for (const auto& [site, settings] : pass.by_site)
         for (const WantedModel& wanted : settings.models) {
             const Group* old = nullptr;
@@ -400,7 +404,7 @@
         }
 }
 
-void Planner::meet_wants(Pass& pass) {
+void PlacementPlanner::meet_wants(Pass& pass) {
     for (auto it = intended_.begin(); it != intended_.end();) {
         const auto old = pass.state.groups().find(it->first);
         const auto& hosts = it->second;
@@ -434,8 +438,8 @@
 
 // Only groups of the wanted version count as surplus, and only when the wanted number serves:
 // otherwise the surplus is a replacement on its way.
-void Planner::Pass::drop_surplus(const Planner& planner, const std::string& site,
-                                 const WantedModel& wanted, std::size_t surplus) {
+void PlacementPlanner::Pass::drop_surplus(const PlacementPlanner& planner, const std::string& site,
+                                          const WantedModel& wanted, std::size_t surplus) {
     const auto open = count_groups(site, wanted.spec.model, [&](const Group& g) {
         return planner.serving(g.epoch) && g.model == wanted.spec;
     });
@@ -452,8 +456,8 @@
     }
 }
 
-bool Planner::form(Pass& pass, const WantedModel& wanted, const std::vector<HostName>& hosts,
-                   const std::string& reason) {
+bool PlacementPlanner::form(Pass& pass, const WantedModel& wanted,
+                            const std::vector<HostName>& hosts, const std::string& reason) {
     const std::string& site = pass.state.hosts().at(hosts.front()).spec.site;
     std::size_t loading = pass.formed[site];
     for (const auto& [epoch, group] : pass.state.groups())
--- a/src/process/placement.h
+++ b/src/process/placement.h
@@ -65,7 +65,7 @@
 // Decides which hosts form each group and what happens to broken ones. Runs on the leading
 // control host only; it holds observations, never the truth: its commands are checked again when
 // they are applied.
-class Planner {
+class PlacementPlanner {
   public:
     // A new leader gives every host the full silence before it believes that it is gone.
     void reset(Time now);
--- a/src/process/pricing.cpp
+++ b/src/process/pricing.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-bool Planner::intended(const HostName& host) const {
+bool PlacementPlanner::intended(const HostName& host) const {
     return std::any_of(intended_.begin(), intended_.end(), [&](const auto& item) {
         return std::count(item.second.begin(), item.second.end(), host) > 0;
     });
@@ -35,8 +35,8 @@
 
 // Hosts that may form a group now, best first: weights already resident, then few recent
 // failures, then by name for a stable order.
-std::vector<HostName> Planner::free_hosts(const Pass& pass, const std::string& domain,
-                                          const ModelSpec& spec) const {
+std::vector<HostName> PlacementPlanner::free_hosts(const Pass& pass, const std::string& domain,
+                                                   const ModelSpec& spec) const {
     std::vector<HostName> out;
     for (const auto& [name, host] : pass.state.hosts())
         if (host.spec.domain == domain && host.bound == NoEpoch && usable(pass, host) &&
@@ -54,9 +54,9 @@
 
 // The domain where the most weights are already loaded, then the one that keeps the most spare
 // hosts: a group with a spare beside it is repaired without leaving its domain.
-std::optional<std::vector<HostName>> Planner::pick_domain(const Pass& pass,
-                                                          const WantedModel& wanted,
-                                                          const std::string& not_domain) const {
+std::optional<std::vector<HostName>>
+PlacementPlanner::pick_domain(const Pass& pass, const WantedModel& wanted,
+                              const std::string& not_domain) const {
     std::set<std::string> domains;
     for (const auto& [name, host] : pass.state.hosts())
         if (host.spec.role == HostRole::Engine && pass.wanted(host.spec.site, wanted.spec.model))
@@ -83,8 +83,8 @@
 }
 
 // The weight store is shared: what loads now is served first.
-Duration Planner::load_time(const Pass& pass, const std::vector<HostName>& hosts,
-                            const WantedModel& wanted) const {
+Duration PlacementPlanner::load_time(const Pass& pass, const std::vector<HostName>& hosts,
+                                     const WantedModel& wanted) const {
     double mb = 0;
     for (const HostName& name : hosts)
         mb += hosts_.at(name).holds(wanted.spec) ? 0 : wanted.weight_mb;
@@ -100,8 +100,8 @@
     return from_seconds(mb / rate + RegroupSeconds);
 }
 
-RepairDecision Planner::price(Pass& pass, const Group& group,
-                              const std::vector<HostName>& missing) {
+RepairDecision PlacementPlanner::price(Pass& pass, const Group& group,
+                                       const std::vector<HostName>& missing) {
     const PlacementSettings& settings = pass.settings(group.site);
     RepairDecision out;
     out.group = group.epoch;
@@ -155,8 +155,9 @@
 }
 
 // Spares of the same domain take the places of the missing members.
-void Planner::price_replace(Pass& pass, const Group& group, const std::vector<HostName>& survivors,
-                            Duration remaining, RepairDecision& out) {
+void PlacementPlanner::price_replace(Pass& pass, const Group& group,
+                                     const std::vector<HostName>& survivors, Duration remaining,
+                                     RepairDecision& out) {
     const WantedModel& wanted = *pass.wanted(group.site, group.model.model);
     const auto spares = free_hosts(pass, group.domain, wanted.spec);
     const std::size_t needed =
@@ -189,8 +190,8 @@
 }
 
 // A whole new group in another domain; the survivors stay idle until their partners return.
-void Planner::price_move(Pass& pass, const Group& group, double idle, Duration remaining,
-                         RepairDecision& out) {
+void PlacementPlanner::price_move(Pass& pass, const Group& group, double idle, Duration remaining,
+                                  RepairDecision& out) {
     const WantedModel& wanted = *pass.wanted(group.site, group.model.model);
     auto hosts = pick_domain(pass, wanted, group.domain);
     if (!hosts)
@@ -212,8 +213,9 @@
 
 // What is left of two broken groups of one domain becomes one whole group. The other group then
 // waits for more hosts than before.
-void Planner::price_merge(Pass& pass, const Group& group, const std::vector<HostName>& survivors,
-                          Duration remaining, RepairDecision& out) {
+void PlacementPlanner::price_merge(Pass& pass, const Group& group,
+                                   const std::vector<HostName>& survivors, Duration remaining,
+                                   RepairDecision& out) {
     const WantedModel& wanted = *pass.wanted(group.site, group.model.model);
     for (const auto& [epoch, other] : pass.state.groups()) {
         if (epoch <= group.epoch || other.domain != group.domain ||
--- a/src/process/program.cpp
+++ b/src/process/program.cpp
@@ -48,8 +48,8 @@
     return CommandLine{config_file, check_only != 0};
 }
 
-std::optional<ProcessConfig> program_config(Program program, int argc, const char** argv,
-                                            int& exit_code) {
+std::optional<ProcessConfig> read_program_config(Program program, int argc, const char** argv,
+                                                 int& exit_code) {
     const std::string name = "liftweir-" + std::string(name_of(program));
     const auto line = read_command_line(name, nullptr, argc, argv, exit_code);
     if (!line)
--- a/src/process/program.h
+++ b/src/process/program.h
@@ -28,8 +28,8 @@
 
 // Reads the command line and the settings file of a server program. Prints what is wrong and
 // leaves the exit code in `exit_code` where the program must not go on.
-std::optional<ProcessConfig> program_config(Program program, int argc, const char** argv,
-                                            int& exit_code);
+std::optional<ProcessConfig> read_program_config(Program program, int argc, const char** argv,
+                                                 int& exit_code);
 
 // Runs the loop until it is stopped; SIGTERM and SIGINT call `on_signal`.
 void run_until_stopped(asio::io_context& io, const std::function<void()>& on_signal);
--- a/src/process/quarantine.cpp
+++ b/src/process/quarantine.cpp
@@ -50,12 +50,12 @@
 }
 
 // Whether this end and the one before may go back to something else that ended both.
-bool Quarantine::is_of_one_cause(const Record& record, const CutOff& what, Time now) {
+bool Quarantine::is_of_one_cause(const Record& record, const AbortedRequest& what, Time now) {
     const Time sent = now - std::chrono::milliseconds(what.age_ms);
     return record.ends > 0 && now - record.last_end < OneCause && sent < record.last_end;
 }
 
-bool Quarantine::cut_off(const CutOff& what, const EndpointId& endpoint, Time now) {
+bool Quarantine::aborted(const AbortedRequest& what, const EndpointId& endpoint, Time now) {
     make_room();
     Record& record = records_[what.content];
     if (names(record.endpoints, endpoint))
@@ -80,13 +80,13 @@
     return true;
 }
 
-bool Quarantine::suspects(const Fingerprint& content) const {
+bool Quarantine::is_suspect(const Fingerprint& content) const {
     const auto found = records_.find(content);
     return found != records_.end() && found->second.ends > 0;
 }
 
 // False where all that is told was known when the request was cleared.
-bool Quarantine::tells_news(const Record& record, const Suspicion& told) {
+bool Quarantine::tells_news(const Record& record, const SuspectRequest& told) {
     if (record.ends > 0 || record.endpoints.empty())
         return true;
     return std::any_of(told.endpoints.begin(), told.endpoints.end(),
@@ -94,7 +94,7 @@
 }
 
 // What is known of one end may come from several hosts, so counts are not added up.
-bool Quarantine::merge(const Suspicion& told, Time now) {
+bool Quarantine::merge(const SuspectRequest& told, Time now) {
     make_room();
     Record& record = records_[told.content];
     if (!tells_news(record, told))
@@ -124,19 +124,20 @@
                       [&](const auto& item) { return item.second.until > now; }));
 }
 
-Suspicion Quarantine::told_of(const Fingerprint& content, const Record& record, Time now) const {
+SuspectRequest Quarantine::told_of(const Fingerprint& content, const Record& record,
+                                   Time now) const {
     const Duration left = std::max(record.until - now, Duration::zero());
     return {content, record.ends, record.endpoints, static_cast<std::uint32_t>(to_millis(left))};
 }
 
-Suspicion Quarantine::suspicion(const Fingerprint& content, Time now) const {
+SuspectRequest Quarantine::suspicion(const Fingerprint& content, Time now) const {
     const auto found = records_.find(content);
-    return found == records_.end() ? Suspicion{content, 0, {}, 0}
+    return found == records_.end() ? SuspectRequest{content, 0, {}, 0}
                                    : told_of(content, found->second, now);
 }
 
-std::vector<Suspicion> Quarantine::worth_telling(Time now) const {
-    std::vector<Suspicion> out;
+std::vector<SuspectRequest> Quarantine::suspects_to_send(Time now) const {
+    std::vector<SuspectRequest> out;
     for (const auto& [content, record] : records_)
         if (record.ends > 1)
             out.push_back(told_of(content, record, now));
--- a/src/process/quarantine.h
+++ b/src/process/quarantine.h
@@ -14,22 +14,22 @@
 namespace liftweir {
 
 // What one host tells another of a request that was cut off when endpoints ended.
-struct Suspicion {
+struct SuspectRequest {
     Fingerprint content;
     std::uint32_t ends = 0;            // endpoints that ended while they had it
     std::vector<EndpointId> endpoints; // those of them that are known by name
     std::uint32_t left_ms = 0;         // for how much longer no endpoint gets it; 0: it may run
 
-    auto operator<=>(const Suspicion&) const = default;
+    auto operator<=>(const SuspectRequest&) const = default;
     MSGPACK_DEFINE(content, ends, endpoints, left_ms)
 };
 
 // A request that an endpoint broke off.
-struct CutOff {
+struct AbortedRequest {
     Fingerprint content;
     std::uint32_t age_ms = 0; // since it was sent there
 
-    auto operator<=>(const CutOff&) const = default;
+    auto operator<=>(const AbortedRequest&) const = default;
     MSGPACK_DEFINE(content, age_ms)
 };
 
@@ -46,25 +46,25 @@
 class Quarantine {
   public:
     // The endpoint broke the request off. True where that puts it under quarantine.
-    bool cut_off(const CutOff& what, const EndpointId& endpoint, Time now);
+    bool aborted(const AbortedRequest& what, const EndpointId& endpoint, Time now);
     // An endpoint has answered it whole, so it ends nobody. True where anything was held against
     // it. Late words of the ends before change nothing any more.
     bool clear(const Fingerprint& content);
     // Takes over what another host knows. True where that puts the request under quarantine.
-    bool merge(const Suspicion& told, Time now);
+    bool merge(const SuspectRequest& told, Time now);
 
     // For how much longer no endpoint gets the request; zero where it may run.
     Duration left(const Fingerprint& content, Time now) const;
     // Anything is held against it.
-    bool suspects(const Fingerprint& content) const;
+    bool is_suspect(const Fingerprint& content) const;
     bool empty() const { return records_.empty(); }
     std::size_t size() const { return records_.size(); }
     // How many are held back.
     std::size_t held(Time now) const;
     // What is known of the request; no ends where nothing is.
-    Suspicion suspicion(const Fingerprint& content, Time now) const;
+    SuspectRequest suspicion(const Fingerprint& content, Time now) const;
     // What other hosts should know: requests that ended more than one endpoint.
-    std::vector<Suspicion> worth_telling(Time now) const;
+    std::vector<SuspectRequest> suspects_to_send(Time now) const;
     // Forgets what has ended nobody for long.
     void expire(Time now);
 
@@ -76,9 +76,9 @@
         Time until{}; // held back
     };
 
-    static bool tells_news(const Record& record, const Suspicion& told);
-    static bool is_of_one_cause(const Record& record, const CutOff& what, Time now);
-    Suspicion told_of(const Fingerprint& content, const Record& record, Time now) const;
+    static bool tells_news(const Record& record, const SuspectRequest& told);
+    static bool is_of_one_cause(const Record& record, const AbortedRequest& what, Time now);
+    SuspectRequest told_of(const Fingerprint& content, const Record& record, Time now) const;
     bool hold(Record& record, Time until, Time now);
     void make_room();
 
--- a/src/process/raft.cpp
+++ b/src/process/raft.cpp
@@ -274,7 +274,7 @@
     const auto found = progress_.find(node);
     if (!leads() || found == progress_.end())
         return std::nullopt;
-    return PeerView{found->second.match(), found->second.heard()};
+    return PeerView{found->second.match(), found->second.last_contact()};
 }
 
 std::size_t Raft::synced_copies(Index index) const {
--- a/src/process/raft.h
+++ b/src/process/raft.h
@@ -177,7 +177,7 @@
     // What the leader knows of another node; nothing where it does not replicate to it.
     struct PeerView {
         Index match = 0;
-        Time heard{};
+        Time last_contact{};
     };
     std::optional<PeerView> peer(NodeId node) const;
     // Voters, this one included, that have synced the log up to an index. Leader only.
--- a/src/process/registry.cpp
+++ b/src/process/registry.cpp
@@ -219,9 +219,9 @@
     doubt.first = std::min(doubt.first, heard);
     doubt.heard = std::max(doubt.heard, heard);
     const bool goes_on = doubt.heard - doubt.first >= GoesOnReporting;
-    if (hears_beats_ && goes_on && doubt.heard - holder.heard >= HolderSilent)
+    if (hears_beats_ && goes_on && doubt.heard - holder.last_contact >= HolderSilent)
         admit(id, holder.report.id, heard);
-    return false; // told by take_settled()
+    return false; // told by take_resolved()
 }
 
 // What an ended start had, its name's next start has not: the endpoint and all that it held are
@@ -246,7 +246,7 @@
     if (last != nullptr && report.id.started_before(last->report.id))
         return true;
     if (last != nullptr && last->report.phase == EndpointPhase::Gone &&
-        !last->report.id.tells_start())
+        !last->report.id.has_start_time())
         return report.phase != EndpointPhase::Gone;
     return !items_.contains(report.id) &&
            std::any_of(doubts_.begin(), doubts_.end(),
@@ -256,12 +256,12 @@
 // Who ends without naming its start ends the one that is known, unless that was heard of later.
 bool Registry::end_unnamed_start(const EndpointReport& report, Time heard) {
     const Item* last = latest(report.id.name);
-    if (last->heard > heard || last->report.phase == EndpointPhase::Gone)
+    if (last->last_contact > heard || last->report.phase == EndpointPhase::Gone)
         return false;
     const EndpointId id = last->report.id;
     mark_gone(id, heard);
     settled_.push_back(id);
-    return false; // told by take_settled()
+    return false; // told by take_resolved()
 }
 
 void Registry::admit(const EndpointId& id, const EndpointId& instead_of, Time now) {
@@ -273,8 +273,8 @@
     settled_.push_back(id);
 }
 
-std::vector<Registry::Question> Registry::take_questions(Time now) {
-    std::vector<Question> questions;
+std::vector<Registry::AddressCheck> Registry::take_address_checks(Time now) {
+    std::vector<AddressCheck> questions;
     for (auto& [id, doubt] : doubts_) {
         if (now < doubt.ask_due)
             continue;
@@ -288,7 +288,7 @@
 // Whoever stood when the question was put had registered before the answer came: its process has
 // ended. One that took the place meanwhile may be newer still. That another incarnation answers
 // ends nobody: it may be the older one, about to make room.
-void Registry::confirmed(const Question& question, Time now) {
+void Registry::confirmed(const AddressCheck& question, Time now) {
     const EndpointId& id = question.endpoint.id;
     if (!doubts_.contains(id))
         return;
@@ -301,8 +301,8 @@
     if (fault_of(report) != ReportFault::None)
         return false;
     const Item* last = latest(report.id.name);
-    if (report.phase == EndpointPhase::Gone && !report.id.tells_start() && last != nullptr &&
-        last->report.id.tells_start())
+    if (report.phase == EndpointPhase::Gone && !report.id.has_start_time() && last != nullptr &&
+        last->report.id.has_start_time())
         return end_unnamed_start(report, heard);
     if (is_outdated(report))
         return false;
@@ -317,7 +317,7 @@
     if (report.sequence <= item.report.sequence || report.service != item.report.service ||
         report.address != item.report.address)
         return false;
-    item.heard = std::max(item.heard, heard);
+    item.last_contact = std::max(item.last_contact, heard);
     const bool is_change = !report.same_content(item.report);
     item.report = std::move(report);
     item.remembered = false;
@@ -349,16 +349,16 @@
     if (found->second.report.phase == EndpointPhase::Gone)
         return false;
     found->second.report.phase = EndpointPhase::Gone;
-    found->second.heard = now;
+    found->second.last_contact = now;
     changed(found->second);
     return true;
 }
 
 // Another host may have heard of a change that is still on its way here.
-void Registry::heard(const EndpointId& id, Time now) {
+void Registry::seen_alive(const EndpointId& id, Time now) {
     const auto found = items_.find(id);
     if (found != items_.end() && found->second.report.phase != EndpointPhase::Gone)
-        found->second.heard = now;
+        found->second.last_contact = now;
     const auto doubted = doubts_.find(id);
     if (doubted == doubts_.end())
         return;
@@ -373,7 +373,7 @@
     std::vector<EndpointId> old;
     for (const auto& [id, item] : items_) {
         const bool gone = item.report.phase == EndpointPhase::Gone;
-        if (now - item.heard > (gone ? GoneKept : SilentKept))
+        if (now - item.last_contact > (gone ? GoneKept : SilentKept))
             old.push_back(id);
     }
     for (const EndpointId& id : old)
--- a/src/process/registry.h
+++ b/src/process/registry.h
@@ -116,17 +116,17 @@
   public:
     struct Item {
         EndpointReport report;
-        Time heard{};             // last sign of life, from whichever side
+        Time last_contact{};      // last sign of life, from whichever side
         bool remembered = false;  // known from before a restart only; anyone may take its place
         std::uint64_t digest = 0; // of the report's content; zero where the endpoint is gone
     };
 
     // A question that the holder of the registry should put to an address.
-    struct Question {
+    struct AddressCheck {
         EndpointReport endpoint; // in doubt
         EndpointId against;      // who stands at its address
 
-        auto operator<=>(const Question&) const = default;
+        auto operator<=>(const AddressCheck&) const = default;
     };
 
     // Whether all signs of life come in here, so that silence tells something. An entry host hears
@@ -134,7 +134,7 @@
     explicit Registry(bool hears_beats = true) : hears_beats_(hears_beats) {}
 
     // `heard` is when the endpoint showed the sign of life that the report stems from. True where
-    // the content changed; the change is then to be passed on, after those of take_settled().
+    // the content changed; the change is then to be passed on, after those of take_resolved().
     bool merge(EndpointReport report, Time heard);
     // Adds what was known before a restart, unless something newer is known of the endpoint or of
     // its address. True where it was added.
@@ -143,14 +143,14 @@
     // The endpoint has ended, or will without another word. Final.
     bool mark_gone(const EndpointId& id, Time now);
     // A sign of life, without a report.
-    void heard(const EndpointId& id, Time now);
+    void seen_alive(const EndpointId& id, Time now);
     // Endpoints in doubt whose addresses should be asked now.
-    std::vector<Question> take_questions(Time now);
+    std::vector<AddressCheck> take_address_checks(Time now);
     // The endpoint in doubt has answered at its address, after the question was taken.
-    void confirmed(const Question& question, Time now);
+    void confirmed(const AddressCheck& question, Time now);
     // Endpoints whose standing changed by another's report or by an answer, since the last call.
     // Those that ended come before those that took their places.
-    std::vector<EndpointId> take_settled() { return std::exchange(settled_, {}); }
+    std::vector<EndpointId> take_resolved() { return std::exchange(settled_, {}); }
     // Forgets endpoints that are gone or have been silent for long.
     void expire(Time now);
 
--- a/src/process/registryrepair.cpp
+++ b/src/process/registryrepair.cpp
@@ -53,7 +53,7 @@
 // The host that it asked first may have just begun as well, and the links over which others told
 // what they heard were not up yet. Digests come once a second at the most, and must differ twice:
 // so it lacked endpoints for over a second, and refused its callers.
-std::optional<RangesToAsk> RegistryRepair::agreed(const RangeDigests& ours, Time now) {
+std::optional<RangesToAsk> RegistryRepair::agreed_ranges(const RangeDigests& ours, Time now) {
     if (!may_ask(now))
         return std::nullopt;
     for (const auto& [host, seen] : seen_) {
@@ -82,7 +82,7 @@
                 parts.emplace_back();
             parts.back().reports.push_back(item.report);
             parts.back().silent_ms.push_back(
-                static_cast<std::uint32_t>(to_millis(now - item.heard)));
+                static_cast<std::uint32_t>(to_millis(now - item.last_contact)));
         }
     return parts;
 }
--- a/src/process/registryrepair.h
+++ b/src/process/registryrepair.h
@@ -30,7 +30,7 @@
     std::vector<std::uint32_t> compare(const std::string& host, const RangeDigests& theirs,
                                        const RangeDigests& ours, bool trusted, Time now);
     // For a host that has just begun: what others agree upon it asks for as soon as it may.
-    std::optional<RangesToAsk> agreed(const RangeDigests& ours, Time now);
+    std::optional<RangesToAsk> agreed_ranges(const RangeDigests& ours, Time now);
     // The link to the host is new: what was seen of it before tells nothing.
     void forget(const std::string& host) { seen_.erase(host); }
 
--- a/src/process/limitbook.cpp
+++ b/src/process/reportedlimits.cpp
@@ -1,4 +1,4 @@
-#include "process/limitbook.h"
+#include "process/reportedlimits.h"
 
 #include <algorithm>
 
@@ -14,7 +14,7 @@
 
 } // namespace
 
-bool LimitBook::heard(const EndpointId& endpoint, double per_second, Time sent) {
+bool ReportedLimits::add_report(const EndpointId& endpoint, double per_second, Time sent) {
     const auto found = entries_.find(endpoint);
     if (found == entries_.end()) {
         if (per_second > 0)
@@ -29,34 +29,34 @@
     return changes;
 }
 
-bool LimitBook::merge(const LimitWord& word, Time now) {
+bool ReportedLimits::merge(const LimitReport& word, Time now) {
     const Time said = now - std::chrono::milliseconds(word.age_ms);
     const bool ends = word.per_second <= 0;
-    return heard(word.endpoint, word.per_second, ends ? said - LongestTransit : said);
+    return add_report(word.endpoint, word.per_second, ends ? said - LongestTransit : said);
 }
 
-double LimitBook::limit(const EndpointId& endpoint) const {
+double ReportedLimits::limit(const EndpointId& endpoint) const {
     const auto found = entries_.find(endpoint);
     return found == entries_.end() ? 0 : found->second.per_second;
 }
 
-std::size_t LimitBook::limited() const {
+std::size_t ReportedLimits::limited() const {
     return static_cast<std::size_t>(
         std::count_if(entries_.begin(), entries_.end(),
                       [](const auto& item) { return item.second.per_second > 0; }));
 }
 
-std::vector<LimitWord> LimitBook::words(Time now) const {
-    std::vector<LimitWord> words;
+std::vector<LimitReport> ReportedLimits::reports(Time now) const {
+    std::vector<LimitReport> reports;
     for (const auto& [endpoint, entry] : entries_)
-        words.push_back(
+        reports.push_back(
             {endpoint, entry.per_second, static_cast<std::uint32_t>(to_millis(now - entry.said))});
-    return words;
+    return reports;
 }
 
 // A limit holds for as long as its endpoint lives: forgotten sooner, all entry hosts would send
 // their next requests at once.
-void LimitBook::expire(const std::function<bool(const EndpointId&)>& known, Time now) {
+void ReportedLimits::expire(const std::function<bool(const EndpointId&)>& known, Time now) {
     std::erase_if(entries_, [&](const auto& item) {
         const bool old = now - item.second.said > EndKept;
         return old && (item.second.per_second <= 0 || !known(item.first));
--- a/src/process/limitbook.h
+++ b/src/process/reportedlimits.h
@@ -1,5 +1,5 @@
-#ifndef LIMITBOOK_H_INCLUDED
-#define LIMITBOOK_H_INCLUDED
+#ifndef REPORTEDLIMITS_H_INCLUDED
+#define REPORTEDLIMITS_H_INCLUDED
 
 #include "process/clock.h"
 #include "version/endpointid.h"
@@ -14,23 +14,23 @@
 namespace liftweir {
 
 // How many requests a second an endpoint takes from all entry hosts together, by its own word.
-struct LimitWord {
+struct LimitReport {
     EndpointId endpoint;
     double per_second = 0;    // 0: it names no limit
     std::uint32_t age_ms = 0; // since the request was sent that it answered so
 
-    auto operator<=>(const LimitWord&) const = default;
+    auto operator<=>(const LimitReport&) const = default;
     MSGPACK_DEFINE(endpoint, per_second, age_ms)
 };
 
 // The newest word of each endpoint about its limit, as one process knows it. Words are ordered by
 // when the requests were sent that they answer. Pure.
-class LimitBook {
+class ReportedLimits {
   public:
     // An answer to a request of this process. True where it changes the limit.
-    bool heard(const EndpointId& endpoint, double per_second, Time sent);
+    bool add_report(const EndpointId& endpoint, double per_second, Time sent);
     // Another process's word. True where it changes the limit.
-    bool merge(const LimitWord& word, Time now);
+    bool merge(const LimitReport& word, Time now);
 
     // Requests a second; zero where the endpoint names no limit.
     double limit(const EndpointId& endpoint) const;
@@ -38,7 +38,7 @@
     std::size_t limited() const;
     bool empty() const { return entries_.empty(); }
     // All that is known, limits that have ended lately included.
-    std::vector<LimitWord> words(Time now) const;
+    std::vector<LimitReport> reports(Time now) const;
     // Forgets endpoints for which `known` is false, and limits that ended long ago.
     void expire(const std::function<bool(const EndpointId&)>& known, Time now);
 
@@ -53,4 +53,4 @@
 
 } // namespace liftweir
 
-#endif // LIMITBOOK_H_INCLUDED
+#endif // REPORTEDLIMITS_H_INCLUDED
--- a/src/process/inforce.cpp
+++ b/src/process/settingsrollout.cpp
@@ -1,4 +1,4 @@
-#include "process/inforce.h"
+#include "process/settingsrollout.h"
 
 #include <algorithm>
 
@@ -10,29 +10,30 @@
 
 } // namespace
 
-void InForce::reset(Time now) {
+void SettingsRollout::reset(Time now) {
     have_.clear();
     committed_.clear();
     started_ = now;
     no_shortcut_until_ = now + SettingsLeaseWait;
 }
 
-void InForce::acknowledged(const std::string& entry, Version version) {
+void SettingsRollout::acknowledged(const std::string& entry, Version version) {
     have_[entry] = std::max(have_[entry], version);
 }
 
-void InForce::retired(Time now) {
+void SettingsRollout::retired(Time now) {
     no_shortcut_until_ = now + SettingsLeaseWait;
 }
 
-void InForce::committed(Version version, Time now) {
+void SettingsRollout::committed(Version version, Time now) {
     committed_.emplace(version, now);
     if (committed_.size() > CommitTimesKept)
         committed_.erase(committed_.begin());
 }
 
 // A new leader does not know when an older version was committed; it was before it took over.
-bool InForce::reached(Version version, const std::set<std::string>& registered, Time now) const {
+bool SettingsRollout::reached(Version version, const std::set<std::string>& registered,
+                              Time now) const {
     const auto at = committed_.lower_bound(version);
     const Time since = at == committed_.end() ? started_ : at->second;
     if (now - since >= SettingsLeaseWait)
--- a/src/process/inforce.h
+++ b/src/process/settingsrollout.h
@@ -1,5 +1,5 @@
-#ifndef INFORCE_H_INCLUDED
-#define INFORCE_H_INCLUDED
+#ifndef SETTINGSROLLOUT_H_INCLUDED
+#define SETTINGSROLLOUT_H_INCLUDED
 
 #include "process/clock.h"
 #include "version/settings.h"
@@ -20,7 +20,7 @@
 
 // Decides when an accepted change of settings is in force everywhere: as soon as every registered
 // entry host has it, and at the latest when the leases granted before it have run out.
-class InForce {
+class SettingsRollout {
   public:
     void reset(Time now);
     // An entry host holds this version, or a higher one.
@@ -40,4 +40,4 @@
 
 } // namespace liftweir
 
-#endif // INFORCE_H_INCLUDED
+#endif // SETTINGSROLLOUT_H_INCLUDED
--- a/src/process/shard.cpp
+++ b/src/process/shard.cpp
@@ -50,7 +50,7 @@
       table(std::make_shared<const Table>()) {}
 
 // Chooses endpoints for one call through the router, by the newest table.
-class Shard::CallPlacer final : public Placer {
+class Shard::CallPlacer final : public EndpointPicker {
   public:
     explicit CallPlacer(Shard& shard) : shard_(shard) {}
 
@@ -136,7 +136,7 @@
     http_ = serve_http(
         io_, shared_.config.http, HttpServerLimits{},
         [this](std::shared_ptr<HttpExchange> e) { on_request(std::move(e)); },
-        alone ? AddressUse::Alone : AddressUse::Shared);
+        alone ? AddressUse::Exclusive : AddressUse::Shared);
     sync_dialers();
     io_.run();
 }
@@ -155,7 +155,7 @@
 
 // An answer that is given is not yet with its caller: a slow reader would lose the rest of it.
 void Shard::sweep_draining() {
-    http_->close_resting();
+    http_->close_idle();
     busy_.store(http_->busy() > 0, std::memory_order_relaxed);
 }
 
@@ -229,7 +229,7 @@
     active->began = now;
     active->limited = table->limits_enabled;
     active->call = std::make_unique<Call>(std::move(spec), active->placer);
-    exchange->on_gone([this, sequence] {
+    exchange->on_disconnect([this, sequence] {
         asio::post(io_, [this, sequence] {
             if (Active* a = find(sequence)) {
                 a->exchange.reset();
@@ -308,7 +308,7 @@
     attempt.early_refusal = active.early_refusal;
     attempt.resume_tokens = action.resume_tokens;
     attempt.window = spec.streamed ? StreamWindow : 0;
-    attempt.tokens_hint = spec.tokens_hint;
+    attempt.expected_tokens = spec.expected_tokens;
     attempt.slots = active.slots;
     attempt.repeatable = spec.repeatable;
     attempt.streamed = spec.streamed;
@@ -460,7 +460,7 @@
             continue;
         auto dialer = std::make_unique<Dialer>(io_, address, shared_.identity, shared_.keys);
         dialer->start([](const Link::Ptr&) {},
-                      [this, address](const Link::Ptr&, Wire&& m) {
+                      [this, address](const Link::Ptr&, WireMessage&& m) {
                           on_agent_message(address, std::move(m));
                       },
                       [this, address](const Link::Ptr&) { on_link_down(address); });
@@ -497,11 +497,11 @@
     if (sent == active->sent.end())
         return;
     sent->second.stats->in_flight.fetch_sub(1, std::memory_order_relaxed);
-    note_depth(*sent->second.stats, running, waiting, BootClock::now());
+    record_queue_depth(*sent->second.stats, running, waiting, BootClock::now());
     active->sent.erase(sent);
 }
 
-void Shard::on_agent_message(const std::string& address, Wire&& message) {
+void Shard::on_agent_message(const std::string& address, WireMessage&& message) {
     const Time now = BootClock::now();
     const auto with = [&](const AttemptId& id, auto run) {
         if (id.entry != shared_.identity.incarnation)
@@ -520,7 +520,7 @@
                 static LatencyHistogram& first =
                     Metrics::instance().histogram("liftweir_first_token_seconds");
                 first.add(std::chrono::duration<double>(now - a.began).count());
-                note_first_token(*sent->second.stats, now - sent->second.at);
+                record_first_token(*sent->second.stats, now - sent->second.at);
             }
             return a.call->on_chunk(*chunk, now);
         });
--- a/src/process/shard.h
+++ b/src/process/shard.h
@@ -85,7 +85,7 @@
     void sweep_draining();
     void sync_dialers();
     void apply_gate(const GateState& state);
-    void on_agent_message(const std::string& address, Wire&& message);
+    void on_agent_message(const std::string& address, WireMessage&& message);
     void on_link_down(const std::string& address);
 
     EntryShared& shared_;
--- a/src/process/fleetconfig.cpp
+++ b/src/process/siteconfig.cpp
@@ -1,4 +1,4 @@
-#include "process/fleetconfig.h"
+#include "process/siteconfig.h"
 
 #include "connection/link.h"
 
@@ -107,14 +107,14 @@
 
 } // namespace
 
-std::vector<std::string> FleetConfig::seed_ips() const {
+std::vector<std::string> SiteConfig::seed_ips() const {
     std::vector<std::string> ips;
     for (const std::string& seed : seeds)
         ips.push_back(seed.substr(0, seed.rfind(':')));
     return ips;
 }
 
-Expected<FleetConfig> read_fleet_config(const std::string& file) {
+Expected<SiteConfig> read_site_config(const std::string& file) {
     std::ifstream in(file);
     if (!in)
         return fail(FailureKind::BadSettings, file + ": can not be read");
@@ -122,8 +122,8 @@
     std::string errors;
     if (!Json::parseFromStream(Json::CharReaderBuilder(), in, &root, &errors) || !root.isObject())
         return fail(FailureKind::BadSettings, file + ": " + errors);
-    FleetConfig config;
-    FleetBounds& bounds = config.bounds;
+    SiteConfig config;
+    SiteBounds& bounds = config.bounds;
     Reader reader(file, root);
     reader.text("name", config.name, true);
     reader.text("zone", config.zone, false);
--- a/src/process/fleetconfig.h
+++ b/src/process/siteconfig.h
@@ -1,5 +1,5 @@
-#ifndef FLEETCONFIG_H_INCLUDED
-#define FLEETCONFIG_H_INCLUDED
+#ifndef SITECONFIG_H_INCLUDED
+#define SITECONFIG_H_INCLUDED
 
 #include "process/clock.h"
 #include "process/failure.h"
@@ -12,7 +12,7 @@
 namespace liftweir {
 
 // What the platform's operators promise their users; liftweir keeps its own limits inside these.
-struct FleetBounds {
+struct SiteBounds {
     Duration beat = std::chrono::milliseconds(1200);   // between two registrations of an endpoint
     Duration drain = std::chrono::milliseconds(2000);  // a leaving endpoint gets nothing after this
     Duration grace = std::chrono::seconds(8);          // from SIGTERM to SIGKILL
@@ -23,12 +23,12 @@
     double retry_ratio = 0.2;      // repeats for each request, all entry hosts together
     std::uint32_t retry_slack = 0; // repeats beyond that in one window
 
-    auto operator<=>(const FleetBounds&) const = default;
+    auto operator<=>(const SiteBounds&) const = default;
 };
 
 // Settings file of a process that runs where endpoints register themselves: control hosts find
 // each other through seeds, and all state comes with the operators' document.
-struct FleetConfig {
+struct SiteConfig {
     std::string name;
     std::string zone;
     std::string ip;
@@ -42,9 +42,9 @@
     std::string ready;                 // ip:port for the balancer's question
     std::string metrics;               // ip:port
     std::uint32_t tolerated_hosts = 1; // control hosts that may be lost at once
-    FleetBounds bounds;
+    SiteBounds bounds;
 
-    auto operator<=>(const FleetConfig&) const = default;
+    auto operator<=>(const SiteConfig&) const = default;
     std::string link_address() const {
         return link_listen.empty() ? ip + ":" + std::to_string(link_port) : link_listen;
     }
@@ -53,8 +53,8 @@
 };
 
 // Fails with BadSettings: names the file, the key, what was found and what is allowed.
-Expected<FleetConfig> read_fleet_config(const std::string& file);
+Expected<SiteConfig> read_site_config(const std::string& file);
 
 } // namespace liftweir
 
-#endif // FLEETCONFIG_H_INCLUDED
+#endif // SITECONFIG_H_INCLUDED
--- a/src/process/fleetprogram.cpp
+++ b/src/process/siteprogram.cpp
@@ -1,4 +1,4 @@
-#include "process/fleetprogram.h"
+#include "process/siteprogram.h"
 
 #include "process/logging.h"
 #include "process/metrics.h"
@@ -14,7 +14,7 @@
     const auto line = read_command_line(name, fallback, argc, argv, exit_code);
     if (!line)
         return std::nullopt;
-    auto config = read_fleet_config(line->settings_file);
+    auto config = read_site_config(line->settings_file);
     if (!config) {
         std::cerr << config.error().detail << "\n";
         exit_code = ExitBadSettings;
@@ -25,10 +25,10 @@
     return FleetProgram{std::move(*config), line->settings_file};
 }
 
-void follow_fleet_config(asio::io_context& io, const std::string& file,
-                         std::function<void(const FleetConfig&)> changed) {
+void watch_site_config(asio::io_context& io, const std::string& file,
+                       std::function<void(const SiteConfig&)> changed) {
     watch_settings_file(io, file, [file, changed = std::move(changed)] {
-        const auto config = read_fleet_config(file);
+        const auto config = read_site_config(file);
         log(LogLevel::Info, "settings read again",
             {{"outcome", config ? "good" : config.error().detail}});
         if (config)
@@ -36,7 +36,7 @@
     });
 }
 
-void note_started(const FleetConfig& config) {
+void log_started(const SiteConfig& config) {
     log(LogLevel::Info, "started",
         {{"ip", config.ip}, {"authentication", "none: the network is trusted"}});
 }
--- a/src/process/fleetprogram.h
+++ b/src/process/siteprogram.h
@@ -1,8 +1,8 @@
-#ifndef FLEETPROGRAM_H_INCLUDED
-#define FLEETPROGRAM_H_INCLUDED
+#ifndef SITEPROGRAM_H_INCLUDED
+#define SITEPROGRAM_H_INCLUDED
 
 #include "connection/httpserver.h"
-#include "process/fleetconfig.h"
+#include "process/siteconfig.h"
 
 #include <asio.hpp>
 
@@ -15,7 +15,7 @@
 
 // What a program needs to start where endpoints register themselves.
 struct FleetProgram {
-    FleetConfig config;
+    SiteConfig config;
     std::string settings_file;
 };
 
@@ -26,15 +26,15 @@
                                                int argc, const char** argv, int& exit_code);
 
 // Hands on the settings each time that their file changes, unless they are wrong.
-void follow_fleet_config(asio::io_context& io, const std::string& file,
-                         std::function<void(const FleetConfig&)> changed);
+void watch_site_config(asio::io_context& io, const std::string& file,
+                       std::function<void(const SiteConfig&)> changed);
 
 // Says in the log that the program has started.
-void note_started(const FleetConfig& config);
+void log_started(const SiteConfig& config);
 
 // Serves this process's metrics; null where the address is empty.
 std::unique_ptr<HttpServer> serve_metrics(asio::io_context& io, const std::string& address);
 
 } // namespace liftweir
 
-#endif // FLEETPROGRAM_H_INCLUDED
+#endif // SITEPROGRAM_H_INCLUDED
--- a/src/process/pace.h
+++ b/src/process/throttle.h
@@ -1,5 +1,5 @@
-#ifndef PACE_H_INCLUDED
-#define PACE_H_INCLUDED
+#ifndef THROTTLE_H_INCLUDED
+#define THROTTLE_H_INCLUDED
 
 #include "process/clock.h"
 
@@ -9,7 +9,7 @@
 
 // Keeps repeated work to a tenth of the time, by what it took the last time: work that is cheap
 // follows each cause at once, and work that has become dear takes several causes together.
-class Pace {
+class Throttle {
   public:
     // When the work may be done next, if it is asked for now.
     Time due(Time now) const { return std::max(now, rests_until_); }
@@ -23,4 +23,4 @@
 
 } // namespace liftweir
 
-#endif // PACE_H_INCLUDED
+#endif // THROTTLE_H_INCLUDED
--- a/src/process/pacedwork.h
+++ b/src/process/throttledwork.h
@@ -1,7 +1,7 @@
-#ifndef PACEDWORK_H_INCLUDED
-#define PACEDWORK_H_INCLUDED
+#ifndef THROTTLEDWORK_H_INCLUDED
+#define THROTTLEDWORK_H_INCLUDED
 
-#include "process/pace.h"
+#include "process/throttle.h"
 
 #include <asio.hpp>
 
@@ -12,13 +12,13 @@
 
 // Work on the loop that many causes ask for: done once for all that came in the meantime, and no
 // more often than its pace allows.
-class PacedWork {
+class ThrottledWork {
   public:
-    PacedWork(asio::io_context& io, std::function<void()> work)
+    ThrottledWork(asio::io_context& io, std::function<void()> work)
         : timer_(io), work_(std::move(work)) {}
 
     // Does the work from the loop, as soon as may be.
-    void soon() {
+    void schedule() {
         if (std::exchange(asked_, true))
             return;
         const Time now = BootClock::now();
@@ -44,10 +44,10 @@
   private:
     asio::steady_timer timer_;
     std::function<void()> work_;
-    Pace pace_;
+    Throttle pace_;
     bool asked_ = false;
 };
 
 } // namespace liftweir
 
-#endif // PACEDWORK_H_INCLUDED
+#endif // THROTTLEDWORK_H_INCLUDED
--- a/src/process/voterkeeper.cpp
+++ b/src/process/voterselector.cpp
@@ -1,4 +1,4 @@
-#include "process/voterkeeper.h"
+#include "process/voterselector.h"
 
 #include "process/node.h"
 
@@ -31,8 +31,8 @@
 } // namespace
 
 // The new voter comes in before the lost one goes out: at no step do fewer live hosts vote.
-std::optional<Voters> VoterKeeper::next(NodeId self, const Voters& voters,
-                                        const std::vector<NodeView>& others) const {
+std::optional<Voters> VoterSelector::next(NodeId self, const Voters& voters,
+                                          const std::vector<NodeView>& others) const {
     NodeId lost = NoNode;
     Duration longest{};
     for (const NodeId voter : voters) {
--- a/src/process/voterkeeper.h
+++ b/src/process/voterselector.h
@@ -1,5 +1,5 @@
-#ifndef VOTERKEEPER_H_INCLUDED
-#define VOTERKEEPER_H_INCLUDED
+#ifndef VOTERSELECTOR_H_INCLUDED
+#define VOTERSELECTOR_H_INCLUDED
 
 #include "process/raft.h"
 
@@ -19,9 +19,9 @@
 
 // Chooses the next change of voters, one host at a time, so that 2f+1 hosts vote of which f may
 // be lost. Pure: the leader proposes what it returns.
-class VoterKeeper {
+class VoterSelector {
   public:
-    explicit VoterKeeper(std::size_t target) : target_(target) {}
+    explicit VoterSelector(std::size_t target) : target_(target) {}
 
     std::size_t target() const { return target_; }
     // The next set of voters, or nothing where the present one is as good as it can be.
@@ -34,4 +34,4 @@
 
 } // namespace liftweir
 
-#endif // VOTERKEEPER_H_INCLUDED
+#endif // VOTERSELECTOR_H_INCLUDED
--- a/src/request/call.h
+++ b/src/request/call.h
@@ -27,7 +27,7 @@
     bool repeatable = false;
     bool streamed = false;
     std::uint64_t prefix = 0;
-    std::uint32_t tokens_hint = 0;
+    std::uint32_t expected_tokens = 0;
     std::string idempotency_key;
     std::string digest;
     Time deadline{};
@@ -38,7 +38,7 @@
 
 // An endpoint for one attempt.
 struct Place {
-    std::uint64_t id = 0; // names the endpoint towards the Placer
+    std::uint64_t id = 0; // names the endpoint towards the EndpointPicker
     HostName host;
     Incarnation incarnation = 0;
     Epoch epoch = NoEpoch;
@@ -47,9 +47,9 @@
 };
 
 // What a call asks of its surroundings. Implemented by the entry host, and by tests.
-class Placer {
+class EndpointPicker {
   public:
-    virtual ~Placer() = default;
+    virtual ~EndpointPicker() = default;
     // Places in `avoid` have failed this call. A resumed stream needs the same model version.
     virtual std::optional<Place> place(const CallSpec& spec,
                                        const std::vector<std::uint64_t>& avoid, bool must_resume,
@@ -113,7 +113,7 @@
 // one more group at most, and to none where it looks as if the request ended the first.
 class Call {
   public:
-    Call(CallSpec spec, Placer& placer) : spec_(std::move(spec)), placer_(placer) {}
+    Call(CallSpec spec, EndpointPicker& placer) : spec_(std::move(spec)), placer_(placer) {}
 
     CallActions start(Time now);
     CallActions on_claim(const CommandReply& reply, Time now);
@@ -158,7 +158,7 @@
     AttemptId claim_id() const { return {spec_.entry, spec_.sequence, 0}; }
 
     CallSpec spec_;
-    Placer& placer_;
+    EndpointPicker& placer_;
     std::vector<Live> live_;
     std::vector<std::uint64_t> avoid_;
     std::string version_; // model version of the stream that began
--- a/src/request/callerapi.cpp
+++ b/src/request/callerapi.cpp
@@ -65,7 +65,7 @@
     out.spec.prefix = prefix_hash(prompt_of(*body));
     const Json::Value& tokens =
         (*body)[body->isMember("max_tokens") ? "max_tokens" : "max_completion_tokens"];
-    out.spec.tokens_hint = tokens.isNull() ? 0 : tokens.asUInt();
+    out.spec.expected_tokens = tokens.isNull() ? 0 : tokens.asUInt();
     out.spec.deadline = deadline_of(exchange, route->second.deadline, now);
     out.traffic_class = route->second.traffic_class;
     return out;
--- a/src/request/callerwait.cpp
+++ b/src/request/callerwait.cpp
@@ -22,7 +22,7 @@
 
 // Whoever would have come back sooner than anyone is told to has not been here before. The longest
 // limit grows while the first calls come in, so that "whole" is an estimate.
-void CallerWaits::count(Window& window, Duration patience) {
+void CallerWaitEstimator::count(Window& window, Duration patience) {
     ++window.total;
     if (patience > window.longest)
         window.longest = patience;
@@ -30,8 +30,8 @@
         ++window.whole;
 }
 
-Duration CallerWaits::waited(const std::string& route, Duration patience, Duration timeout,
-                             Time now) {
+Duration CallerWaitEstimator::waited(const std::string& route, Duration patience, Duration timeout,
+                                     Time now) {
     RouteWindows& windows = routes_[route];
     if (now - windows.begun > WindowLength && windows.now.total >= EnoughCalls) {
         windows.before = std::exchange(windows.now, {});
--- a/src/request/callerwait.h
+++ b/src/request/callerwait.h
@@ -12,7 +12,7 @@
 // Tells how long a caller had been waiting before its request came here. A caller's first try
 // names its whole time limit, a later one what is left of it; so on a route whose callers mostly
 // have one limit, whoever names less has tried before. Pure.
-class CallerWaits {
+class CallerWaitEstimator {
   public:
     // Nobody who was refused here, and comes back as told, has waited for less.
     static constexpr Duration SoonestReturn = std::chrono::milliseconds(1000);
--- a/src/request/directory.cpp
+++ b/src/request/directory.cpp
@@ -43,13 +43,13 @@
 bool lets_in(const Demand& demand, const LoadForecast& met) {
     const EngineCost& engine = *demand.service->engine;
     const double goal = to_exact_millis(demand.latency_goal);
-    const double latest = demand.engine.yields
+    const double latest = demand.engine.low_priority
                               ? YieldPartOfGoal * goal
                               : GoalSlack * (goal - to_exact_millis(demand.waited));
     const bool late = goal > 0 && met.first_event_ms > latest;
     const bool full = met.in_flight >= engine.slots;
     const bool crowded = met.in_flight > RefuseAbove * engine.slots;
-    return !(late || full) || !(demand.engine.yields || crowded);
+    return !(late || full) || !(demand.engine.low_priority || crowded);
 }
 
 // A request is let in by the work before it: reading its own prompt takes as long wherever it goes,
@@ -68,17 +68,17 @@
     watch.started(now);
 }
 
-void EndpointUse::moved(const EngineDemand& demand, bool first, Time now) {
+void EndpointUse::on_event(const EngineDemand& demand, bool first, Time now) {
     watch.progress(now, first);
     if (!first)
         return;
     load.remove_reading(demand);
-    ++load.writing;
+    ++load.decoding;
 }
 
 void EndpointUse::ended(const EngineDemand& demand, bool wrote) {
     if (wrote)
-        --load.writing;
+        --load.decoding;
     else
         load.remove_reading(demand);
     watch.ended(wrote);
@@ -116,12 +116,12 @@
 ModelShape Directory::shape_at(const EndpointReport& lead, ModelShape shape,
                                const EngineCost& engine) const {
     if (registry_.index().spans_domains(lead.membership.epoch))
-        shape.pace *= engine.far_factor;
+        shape.pace *= engine.cross_domain_factor;
     return shape;
 }
 
-std::vector<GroupShare> Directory::own_shares() const {
-    std::vector<GroupShare> shares;
+std::vector<GroupLoadReport> Directory::own_load() const {
+    std::vector<GroupLoadReport> shares;
     for (const auto& [id, use] : uses_) {
         const Registry::Item* item = use.load.idle() ? nullptr : registry_.find(id);
         if (item != nullptr && item->report.grouped())
@@ -130,9 +130,10 @@
     return shares;
 }
 
-void Directory::learn_others(const std::vector<GroupShare>& shares, Duration every, Time now) {
+void Directory::set_load_of_others(const std::vector<GroupLoadReport>& shares, Duration every,
+                                   Time now) {
     others_at_.clear();
-    for (const GroupShare& share : shares)
+    for (const GroupLoadReport& share : shares)
         others_at_.emplace(share.epoch, share.load);
     others_told_ = now;
     others_every_ = every;
@@ -145,7 +146,7 @@
         return false;
     std::size_t own = 0;
     for (const Lead& lead : leads)
-        own += lead.use->load.writing + lead.use->load.reading;
+        own += lead.use->load.decoding + lead.use->load.prefilling;
     return static_cast<double>(own) < EnoughOfItsOwn * static_cast<double>(leads.size());
 }
 
@@ -179,7 +180,7 @@
     return use.cold.allows(every, std::uniform_real_distribution<double>(0, 1)(random_), now);
 }
 
-void Directory::let_rest(const EndpointId& id, Duration rest, Time now) {
+void Directory::back_off(const EndpointId& id, Duration rest, Time now) {
     EndpointUse& use = uses_[id];
     use.rest_until = std::max(use.rest_until, now + rest);
 }
--- a/src/request/directory.h
+++ b/src/request/directory.h
@@ -6,7 +6,7 @@
 #include "request/endpointlimits.h"
 #include "request/groupload.h"
 #include "request/leveling.h"
-#include "request/stallwatch.h"
+#include "request/stalldetector.h"
 #include "version/routetable.h"
 
 #include <map>
@@ -20,7 +20,7 @@
 // What this entry host knows of one endpoint beyond its report.
 struct EndpointUse {
     GroupLoad load;
-    StallWatch watch;
+    StallDetector watch;
     std::uint32_t in_flight = 0;
     std::uint32_t failures = 0; // in a row
     Time avoid_until{};         // failed or stood still lately
@@ -35,7 +35,7 @@
     // An engine has got a request of this host, which should have its first event after so long.
     void sent(const EngineDemand& demand, Duration pass, Duration first_event, Time now);
     // An event came of it; `first` where it was its first one.
-    void moved(const EngineDemand& demand, bool first, Time now);
+    void on_event(const EngineDemand& demand, bool first, Time now);
     // It is over; `wrote` where it had its first event.
     void ended(const EngineDemand& demand, bool wrote);
 };
@@ -85,22 +85,22 @@
     EndpointUse& use(const EndpointId& id) { return uses_[id]; }
     const std::map<EndpointId, EndpointUse>& uses() const { return uses_; }
     // How many times this host's own work all entry hosts have under way together.
-    void set_others(double others) {
+    void set_fleet_load_ratio(double others) {
         others_ = others;
         limits_.set_own_part(1 / others);
     }
     EndpointLimits& limits() { return limits_; }
     // The endpoint wants no request of this host for so long.
-    void let_rest(const EndpointId& id, Duration rest, Time now);
+    void back_off(const EndpointId& id, Duration rest, Time now);
     // The endpoint takes no new work any more. False where that was known.
     bool note_leaving(const EndpointId& id, Time now);
     // When a caller that met `none` should return; zero where nothing is known of that. Callers are
     // told different moments.
     Duration return_after(const NoPick& none, Time now);
     // What this host has under way, by group.
-    std::vector<GroupShare> own_shares() const;
+    std::vector<GroupLoadReport> own_load() const;
     // What the other entry hosts had under way a moment ago. Old figures are not used.
-    void learn_others(const std::vector<GroupShare>& shares, Duration every, Time now);
+    void set_load_of_others(const std::vector<GroupLoadReport>& shares, Duration every, Time now);
     // A prompt has left for a group of the model.
     void note_sent(const std::string& model, std::uint32_t prompt_tokens, Time now) {
         sent_tokens_[model].add(prompt_tokens, now);
--- a/src/request/endpointlimits.cpp
+++ b/src/request/endpointlimits.cpp
@@ -10,7 +10,7 @@
 // many requests where that is less.
 constexpr double BurstSeconds = 1.5;
 constexpr double LeastBurst = 1.5;
-static_assert(LeastBurst <= 2 * LeastLoanPerSecond);
+static_assert(LeastBurst <= 2 * LeastSharePerSecond);
 // Without a lender, entry hosts that have lost touch and others that have not must not add up to
 // much more than the limit.
 constexpr double UnlentPart = 0.5;
@@ -28,12 +28,12 @@
 
 } // namespace
 
-void EndpointLimits::lend(const std::vector<LimitLoan>& loans, Time until) {
-    for (const LimitLoan& loan : loans) {
-        Use& use = uses_[loan.endpoint];
+void EndpointLimits::grant_shares(const std::vector<LimitShare>& limit_shares, Time until) {
+    for (const LimitShare& limit_share : limit_shares) {
+        Use& use = uses_[limit_share.endpoint];
         if (until < use.until)
             continue;
-        use.part = loan.part;
+        use.part = limit_share.part;
         use.until = until;
     }
 }
--- a/src/request/endpointlimits.h
+++ b/src/request/endpointlimits.h
@@ -2,8 +2,8 @@
 #define ENDPOINTLIMITS_H_INCLUDED
 
 #include "process/clock.h"
-#include "process/limitbook.h"
-#include "process/limitlender.h"
+#include "process/limitallocator.h"
+#include "process/reportedlimits.h"
 
 #include <functional>
 #include <map>
@@ -15,12 +15,12 @@
 // before a request comes: by its loans, and by half of what it had where nobody lends. Pure.
 class EndpointLimits {
   public:
-    LimitBook& book() { return book_; }
-    const LimitBook& book() const { return book_; }
+    ReportedLimits& book() { return book_; }
+    const ReportedLimits& book() const { return book_; }
     // This host's part of the work of all entry hosts.
     void set_own_part(double part) { own_part_ = part; }
     // Control has lent these parts; they end at `until`.
-    void lend(const std::vector<LimitLoan>& loans, Time until);
+    void grant_shares(const std::vector<LimitShare>& limit_shares, Time until);
 
     // Until a request may go to the endpoint; zero where one may go now.
     Duration wait(const EndpointId& endpoint, Time now);
@@ -43,7 +43,7 @@
     double rate(const EndpointId& endpoint, const Use& use, Time now) const;
     Use& counted_up(const EndpointId& endpoint, Time now);
 
-    LimitBook book_;
+    ReportedLimits book_;
     std::map<EndpointId, Use> uses_;
     double own_part_ = 1;
 };
--- a/src/request/workboard.cpp
+++ b/src/request/entryloadtable.cpp
@@ -1,4 +1,4 @@
-#include "request/workboard.h"
+#include "request/entryloadtable.h"
 
 #include <algorithm>
 #include <utility>
@@ -12,13 +12,13 @@
 constexpr double BytesPerGroup = 20;
 constexpr double BytesPerSecond = 4000;
 
-void add_to(std::map<Epoch, GroupLoad>& sums, const std::vector<GroupShare>& shares) {
-    for (const GroupShare& share : shares)
+void add_to(std::map<Epoch, GroupLoad>& sums, const std::vector<GroupLoadReport>& shares) {
+    for (const GroupLoadReport& share : shares)
         sums[share.epoch].add(share.load);
 }
 
-void take_from(std::map<Epoch, GroupLoad>& sums, const std::vector<GroupShare>& shares) {
-    for (const GroupShare& share : shares) {
+void take_from(std::map<Epoch, GroupLoad>& sums, const std::vector<GroupLoadReport>& shares) {
+    for (const GroupLoadReport& share : shares) {
         const auto sum = sums.find(share.epoch);
         if (sum == sums.end())
             continue;
@@ -30,25 +30,25 @@
 
 } // namespace
 
-void WorkBoard::tell(const std::string& entry, std::vector<GroupShare> shares, Time now) {
+void EntryLoadTable::tell(const std::string& entry, std::vector<GroupLoadReport> shares, Time now) {
     Told& told = told_[entry];
     take_from(all_, told.shares);
     add_to(all_, shares);
     told = {std::move(shares), now};
 }
 
-std::vector<GroupShare> WorkBoard::others_of(const std::string& entry) const {
+std::vector<GroupLoadReport> EntryLoadTable::load_of_others(const std::string& entry) const {
     std::map<Epoch, GroupLoad> sums = all_;
     if (const auto told = told_.find(entry); told != told_.end())
         take_from(sums, told->second.shares);
-    std::vector<GroupShare> others;
+    std::vector<GroupLoadReport> others;
     others.reserve(sums.size());
     for (const auto& [epoch, load] : sums)
         others.push_back({epoch, load});
     return others;
 }
 
-void WorkBoard::expire(Time now) {
+void EntryLoadTable::expire(Time now) {
     for (auto told = told_.begin(); told != told_.end();) {
         if (now - told->second.when <= ToldKept) {
             ++told;
@@ -59,11 +59,11 @@
     }
 }
 
-Duration WorkBoard::every() const {
+Duration EntryLoadTable::every() const {
     const double seconds = BytesPerGroup * static_cast<double>(all_.size()) / BytesPerSecond;
     const auto needed =
         std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
-    return std::max(SharesEvery, needed);
+    return std::max(LoadReportInterval, needed);
 }
 
 } // namespace liftweir
