--- a/src/request/workboard.h
+++ b/src/request/entryloadtable.h
@@ -1,5 +1,5 @@
-#ifndef WORKBOARD_H_INCLUDED
-#define WORKBOARD_H_INCLUDED
+#ifndef ENTRYLOADTABLE_H_INCLUDED
+#define ENTRYLOADTABLE_H_INCLUDED
 
 #include "process/clock.h"
 #include "request/groupload.h"
@@ -12,17 +12,17 @@
 
 // Entry hosts tell control what they have under way at each group, and are told what the others
 // have, this often at most.
-constexpr Duration SharesEvery = std::chrono::milliseconds(200);
+constexpr Duration LoadReportInterval = std::chrono::milliseconds(200);
 
 // What entry hosts have under way, as the control host that leads knows it. One host of fifty sees
 // two in a hundred of the requests: by its own work alone it can not tell a group that is full from
 // an idle one. Pure.
-class WorkBoard {
+class EntryLoadTable {
   public:
     // All that the entry host has under way; what it told before is replaced.
-    void tell(const std::string& entry, std::vector<GroupShare> shares, Time now);
+    void tell(const std::string& entry, std::vector<GroupLoadReport> shares, Time now);
     // What all others have under way, by group.
-    std::vector<GroupShare> others_of(const std::string& entry) const;
+    std::vector<GroupLoadReport> load_of_others(const std::string& entry) const;
     // Hosts that have told nothing for so long are left out.
     void expire(Time now);
     bool empty() const { return told_.empty(); }
@@ -31,7 +31,7 @@
 
   private:
     struct Told {
-        std::vector<GroupShare> shares;
+        std::vector<GroupLoadReport> shares;
         Time when{};
     };
 
@@ -41,4 +41,4 @@
 
 } // namespace liftweir
 
-#endif // WORKBOARD_H_INCLUDED
+#endif // ENTRYLOADTABLE_H_INCLUDED
--- a/src/request/groupload.h
+++ b/src/request/groupload.h
@@ -13,16 +13,16 @@
 // What a request asks of an engine.
 struct EngineDemand {
     std::uint32_t prompt_tokens = 0;
-    bool yields = false; // it waits behind all that do not
+    bool low_priority = false; // it waits behind all that do not
 
     auto operator<=>(const EngineDemand&) const = default;
 };
 
 // What an entry host has under way at one group, and what it has seen of the group's speed.
 struct GroupLoad {
-    std::uint32_t writing = 0;         // streams past their first event
-    std::uint32_t reading = 0;         // requests before their first event
-    std::uint64_t reading_tokens = 0;  // prompt tokens of those
+    std::uint32_t decoding = 0;        // streams past their first event
+    std::uint32_t prefilling = 0;      // requests before their first event
+    std::uint64_t prefill_tokens = 0;  // prompt tokens of those
     std::uint32_t yielding = 0;        // of those, requests that let others go first
     std::uint64_t yielding_tokens = 0; // prompt tokens of these
     double seen_pass_ms = 0;           // smoothed time between events; zero where none was seen
@@ -34,18 +34,18 @@
     // The work of other hosts beside it, or without it.
     void add(const GroupLoad& others);
     void take(const GroupLoad& others);
-    bool idle() const { return writing == 0 && reading == 0; }
+    bool idle() const { return decoding == 0 && prefilling == 0; }
 
     auto operator<=>(const GroupLoad&) const = default;
-    MSGPACK_DEFINE(writing, reading, reading_tokens, yielding, yielding_tokens)
+    MSGPACK_DEFINE(decoding, prefilling, prefill_tokens, yielding, yielding_tokens)
 };
 
 // The load that one entry host, or several together, put on a group.
-struct GroupShare {
+struct GroupLoadReport {
     Epoch epoch = NoEpoch;
     GroupLoad load;
 
-    auto operator<=>(const GroupShare&) const = default;
+    auto operator<=>(const GroupLoadReport&) const = default;
     MSGPACK_DEFINE(epoch, load)
 };
 
--- a/src/request/precedence.cpp
+++ b/src/request/precedence.cpp
@@ -12,7 +12,7 @@
 
 // The streams of a group that was lost are late as soon as that is noticed, and their callers stay
 // for seconds. Reading their prompts anew first would make new requests late as well.
-bool lets_others_go_first(const CallProgress& call) {
+bool is_bound_to_be_late(const CallProgress& call) {
     if (call.begun)
         return call.pause_goal > Duration::zero() && call.stood_still > call.pause_goal;
     return call.latency_goal > Duration::zero() &&
--- a/src/request/precedence.h
+++ b/src/request/precedence.h
@@ -18,7 +18,7 @@
 
 // Whether a request will be late whatever is done, and so lets go first what may still be in time.
 // Nothing is late without a goal.
-bool lets_others_go_first(const CallProgress& call);
+bool is_bound_to_be_late(const CallProgress& call);
 
 } // namespace liftweir
 
--- a/src/request/relayedanswer.cpp
+++ b/src/request/relayedanswer.cpp
@@ -37,13 +37,13 @@
 
 void RelayedCall::on_head(const HttpResponseHead& head) {
     head_ = head;
-    note_ = host_.protocol().judge(head, request_);
-    if (note_.other_request) {
+    note_ = host_.protocol().parse_response(head, request_);
+    if (note_.request_id_mismatch) {
         on_broken("the answer belongs to another request");
         return;
     }
     note_limit();
-    note_rest();
+    note_backoff();
     if (note_.leaving && !note_.misdirected)
         host_.note_leaving(endpoint_);
     events_ = status_class(head.status) == 2 && is_event_stream(head);
@@ -58,9 +58,9 @@
         host_.note_limit(endpoint_, note_, sent_);
 }
 
-void RelayedCall::note_rest() {
-    if (note_.rest > Duration::zero() || note_.rest_fault != NumberFault::None)
-        host_.note_rest(endpoint_, note_);
+void RelayedCall::note_backoff() {
+    if (note_.backoff > Duration::zero() || note_.backoff_fault != NumberFault::None)
+        host_.note_backoff(endpoint_, note_);
 }
 
 void RelayedCall::on_body(std::string_view bytes) {
@@ -90,7 +90,7 @@
 void RelayedCall::note_progress(Time now) {
     const bool first = !std::exchange(first_seen_, true);
     if (uses_engine())
-        host_.directory().use(endpoint_).moved(engine_demand(), first, now);
+        host_.directory().use(endpoint_).on_event(engine_demand(), first, now);
 }
 
 void RelayedCall::pass_event(std::string event) {
@@ -169,12 +169,12 @@
 // The endpoint may have ended, and because of this request: the host knows more than one call does.
 void RelayedCall::note_cut_off() {
     const auto age = static_cast<std::uint32_t>(to_millis(BootClock::now() - sent_));
-    host_.cut_off({fingerprint(), age}, endpoint_);
+    host_.aborted({fingerprint(), age}, endpoint_);
 }
 
 // A success, or a failure that the endpoint lived to tell of.
 void RelayedCall::note_answered() {
-    if (!host_.quarantine().empty() && host_.quarantine().suspects(fingerprint()))
+    if (!host_.quarantine().empty() && host_.quarantine().is_suspect(fingerprint()))
         host_.cleared(fingerprint());
 }
 
--- a/src/request/relayedcall.cpp
+++ b/src/request/relayedcall.cpp
@@ -23,20 +23,20 @@
 
 } // namespace
 
-RelayedCall::RelayedCall(RelayHost& host, std::shared_ptr<HttpExchange> exchange,
-                         CallerRequest request, RelayPlan plan)
+RelayedCall::RelayedCall(RelayedCallContext& host, std::shared_ptr<HttpExchange> exchange,
+                         CallerRequest request, RelayedCallRoute plan)
     : host_(host),
       exchange_(std::move(exchange)),
       request_(std::move(request)),
       plan_(std::move(plan)),
       received_(exchange_->received()),
       deadline_(received_ +
-                std::min(plan_.route->timeout, request_.patience.value_or(plan_.route->timeout))),
+                std::min(plan_.route->timeout, request_.time_limit.value_or(plan_.route->timeout))),
       last_event_(request_.last_event) {}
 
 void RelayedCall::start() {
     host_.budget(plan_.service->name).request(received_);
-    exchange_->on_gone([self = shared_from_this()] { self->caller_left(); });
+    exchange_->on_disconnect([self = shared_from_this()] { self->caller_left(); });
     attempt(received_);
 }
 
@@ -44,16 +44,15 @@
     Demand demand;
     demand.service = plan_.service;
     demand.model = request_.model;
-    demand.engine = {request_.prompt_tokens, yields(now)};
+    demand.engine = {request_.prompt_tokens, low_priority(now)};
     demand.latency_goal = plan_.route->latency_goal;
     demand.waited = waited(now);
     return demand;
 }
 
-bool RelayedCall::yields(Time now) const {
-    return lets_others_go_first({begun_, waited(now),
-                                 begun_ ? now - last_passed_ : Duration::zero(),
-                                 plan_.route->latency_goal, plan_.route->pause_goal});
+bool RelayedCall::low_priority(Time now) const {
+    return is_bound_to_be_late({begun_, waited(now), begun_ ? now - last_passed_ : Duration::zero(),
+                                plan_.route->latency_goal, plan_.route->pause_goal});
 }
 
 // ---- sending
@@ -64,7 +63,7 @@
     const auto sent = send_to_best(now);
     if (sent)
         return;
-    const bool may_wait = begun_ || host_.learns_endpoints(now);
+    const bool may_wait = begun_ || host_.discovering_endpoints(now);
     if (sent.error() != PickFailure::NoneServes && !may_wait) {
         refuse_unpicked(sent.error(), now);
         return;
@@ -145,11 +144,11 @@
         note_sent_again(pick, now);
     begin_attempt(pick, now);
     occupy_endpoint(pick, now);
-    const ForwardNote note{endpoint_, plan_.customer, deadline_ - now, last_event_, yields_};
+    const ForwardedFields note{endpoint_, plan_.customer, deadline_ - now, last_event_, yields_};
     ChannelOptions options;
     options.fresh = !plan_.route->repeatable();
     options.connect_timeout = ConnectPatience;
-    options.most_kept = host_.directory().connections_allowed(*plan_.service);
+    options.max_idle_connections = host_.directory().connections_allowed(*plan_.service);
     call_ = host_.pool().start(pick.address, host_.protocol().forward(*exchange_, note),
                                std::string(exchange_->body()), options, events_of_attempt());
 }
@@ -170,7 +169,7 @@
     endpoints_ += (endpoints_.empty() ? "" : ",") + text_of(pick.endpoint);
     tried_.insert(pick.endpoint);
     sent_ = now;
-    yields_ = yields(now);
+    yields_ = low_priority(now);
     first_seen_ = false;
     head_ = {};
     note_ = {};
@@ -251,7 +250,7 @@
         fail(502, why);
         return;
     }
-    exchange_->respond(503, host_.protocol().own_answer(request_, retry_after),
+    exchange_->respond(503, host_.protocol().own_answer_headers(request_, retry_after),
                        "{\"error\":{\"kind\":\"no_endpoint\",\"outcome\":\"not-run\"}}\n");
     finish(503, why);
 }
@@ -264,7 +263,7 @@
         Metrics::instance().counter("liftweir_held_back_refused").add();
         const Duration after = host_.directory().return_after(none, now);
         refuse("all endpoints are at their limits or rest",
-               std::max(after, CallerWaits::SoonestReturn));
+               std::max(after, CallerWaitEstimator::SoonestReturn));
     } else {
         refuse(sends_ == 0 ? "no endpoint serves" : "no other endpoint serves", RetryAfterNoGroup);
     }
@@ -274,7 +273,7 @@
     if (done_)
         return;
     release_endpoint();
-    exchange_->respond(status, host_.protocol().own_answer(request_, Duration::zero()),
+    exchange_->respond(status, host_.protocol().own_answer_headers(request_, Duration::zero()),
                        "{\"error\":{\"kind\":\"endpoint_failed\",\"outcome\":\"unknown\"}}\n");
     finish(status, why);
 }
--- a/src/request/relayedcall.h
+++ b/src/request/relayedcall.h
@@ -8,7 +8,7 @@
 #include "request/callerprotocol.h"
 #include "request/callerwait.h"
 #include "request/directory.h"
-#include "request/repeatbudget.h"
+#include "request/windowedretrybudget.h"
 #include "version/fingerprint.h"
 #include "version/routetable.h"
 
@@ -36,25 +36,25 @@
 };
 
 // What calls need of the entry host that they run on.
-class RelayHost {
+class RelayedCallContext {
   public:
-    virtual ~RelayHost() = default;
+    virtual ~RelayedCallContext() = default;
     virtual Directory& directory() = 0;
     virtual HttpChannelPool& pool() = 0;
     virtual const CallerProtocol& protocol() const = 0;
-    virtual RepeatBudget& budget(const std::string& service) = 0;
+    virtual WindowedRetryBudget& budget(const std::string& service) = 0;
     // This host began a moment ago, and may not have heard of all endpoints yet.
-    virtual bool learns_endpoints(Time now) const = 0;
+    virtual bool discovering_endpoints(Time now) const = 0;
     virtual const Quarantine& quarantine() const = 0;
     // The endpoint broke the request off.
-    virtual void cut_off(const CutOff& request, const EndpointId& id) = 0;
+    virtual void aborted(const AbortedRequest& request, const EndpointId& id) = 0;
     // An endpoint answered whole what it, or another one, had broken off before.
     virtual void cleared(const Fingerprint& content) = 0;
     // The endpoint's answer to a request that was sent at `sent` names a limit, a wrong one or
     // none.
-    virtual void note_limit(const EndpointId& id, const AnswerNote& note, Time sent) = 0;
+    virtual void note_limit(const EndpointId& id, const ResponseSignals& note, Time sent) = 0;
     // The endpoint turned a request away, and asks for rest or names a wrong time.
-    virtual void note_rest(const EndpointId& id, const AnswerNote& note) = 0;
+    virtual void note_backoff(const EndpointId& id, const ResponseSignals& note) = 0;
     // The endpoint answered that it leaves.
     virtual void note_leaving(const EndpointId& id) = 0;
     // An endpoint took no connection.
@@ -64,7 +64,7 @@
 };
 
 // Where a caller's request goes, decided before it is passed on.
-struct RelayPlan {
+struct RelayedCallRoute {
     std::shared_ptr<const RouteTable> table; // keeps route and service alive
     const Route* route = nullptr;
     const Service* service = nullptr;
@@ -76,8 +76,8 @@
 // answer on, and sends it again or goes on with a broken stream elsewhere where that is allowed.
 class RelayedCall : public std::enable_shared_from_this<RelayedCall> {
   public:
-    RelayedCall(RelayHost& host, std::shared_ptr<HttpExchange> exchange, CallerRequest request,
-                RelayPlan plan);
+    RelayedCall(RelayedCallContext& host, std::shared_ptr<HttpExchange> exchange,
+                CallerRequest request, RelayedCallRoute plan);
 
     // Sends the request for the first time, and counts it in its service's budget of repeats.
     void start();
@@ -109,7 +109,7 @@
     Demand demand(Time now) const;
     // How long the caller has been waiting.
     Duration waited(Time now) const { return plan_.waited_before + (now - received_); }
-    bool yields(Time now) const;
+    bool low_priority(Time now) const;
     bool takes_another(Time now);
     std::uint32_t runs_allowed() const;
     const char* full_reason() const {
@@ -122,7 +122,7 @@
     // the endpoint's answer
     void on_head(const HttpResponseHead& head);
     void note_limit();
-    void note_rest();
+    void note_backoff();
     void on_body(std::string_view bytes);
     void on_end(CallEnd how);
     void on_no_connection();
@@ -158,12 +158,12 @@
     // A group that lost a member serves again after about this long.
     static constexpr Duration RetryAfterNoGroup = std::chrono::milliseconds(1600);
     // A full group frees places as streams end.
-    static constexpr Duration RetryAfterFull = CallerWaits::SoonestReturn;
+    static constexpr Duration RetryAfterFull = CallerWaitEstimator::SoonestReturn;
 
-    RelayHost& host_;
+    RelayedCallContext& host_;
     std::shared_ptr<HttpExchange> exchange_;
     CallerRequest request_;
-    RelayPlan plan_;
+    RelayedCallRoute plan_;
     Time received_;
     Time deadline_;
     bool done_ = false;
@@ -181,7 +181,7 @@
     bool waiting_ = false;    // no endpoint takes it at the moment
 
     HttpResponseHead head_;
-    AnswerNote note_;
+    ResponseSignals note_;
     bool events_ = false; // the answer is a stream of events
     bool begun_ = false;  // the caller has the head
     EventSplitter splitter_;
--- a/src/request/relayedwait.cpp
+++ b/src/request/relayedwait.cpp
@@ -62,7 +62,7 @@
 // Right after the start of this host most endpoints are about to be heard of.
 Duration RelayedCall::longest_wait(Time now) const {
     const Duration usual = plan_.route->latency_goal / HoldPartOfGoal;
-    if (!host_.learns_endpoints(now))
+    if (!host_.discovering_endpoints(now))
         return usual;
     return std::max(usual, (deadline_ - received_) / HoldPartOfPatience);
 }
--- a/src/request/routing.cpp
+++ b/src/request/routing.cpp
@@ -35,7 +35,7 @@
     return reinterpret_cast<std::uintptr_t>(target.stats.get());
 }
 
-void note_first_token(TargetStats& stats, Duration first_token) {
+void record_first_token(TargetStats& stats, Duration first_token) {
     const double s = seconds(first_token.count());
     const double old = stats.first_token_s.load(std::memory_order_relaxed);
     const bool first = stats.samples.fetch_add(1, std::memory_order_relaxed) == 0;
@@ -43,7 +43,8 @@
                               std::memory_order_relaxed);
 }
 
-void note_depth(TargetStats& stats, std::uint32_t running, std::uint32_t waiting, Time now) {
+void record_queue_depth(TargetStats& stats, std::uint32_t running, std::uint32_t waiting,
+                        Time now) {
     stats.depth.store(running + waiting, std::memory_order_relaxed);
     stats.depth_at.store(now.time_since_epoch().count(), std::memory_order_relaxed);
 }
--- a/src/request/routing.h
+++ b/src/request/routing.h
@@ -50,9 +50,9 @@
 std::uint64_t target_id(const Target& target);
 
 // Smooths a measured time to the first token into the endpoint's statistics.
-void note_first_token(TargetStats& stats, Duration first_token);
+void record_first_token(TargetStats& stats, Duration first_token);
 // Takes over an endpoint's own report of its load.
-void note_depth(TargetStats& stats, std::uint32_t running, std::uint32_t waiting, Time now);
+void record_queue_depth(TargetStats& stats, std::uint32_t running, std::uint32_t waiting, Time now);
 
 // Hash of the part of a prompt that engines are likely to have cached.
 std::uint64_t prefix_hash(std::string_view prompt);
--- a/src/request/stallwatch.cpp
+++ b/src/request/stalldetector.cpp
@@ -1,4 +1,4 @@
-#include "request/stallwatch.h"
+#include "request/stalldetector.h"
 
 #include <algorithm>
 
@@ -22,18 +22,18 @@
 
 } // namespace
 
-void StallWatch::expect(Duration longest_pass, Duration first_event) {
+void StallDetector::expect(Duration longest_pass, Duration first_event) {
     longest_pass_ = longest_pass;
     first_event_ = first_event;
 }
 
-void StallWatch::started(Time now) {
+void StallDetector::started(Time now) {
     if (waiting() == 0)
         last_ = now;
     ++reading_;
 }
 
-void StallWatch::progress(Time now, bool first) {
+void StallDetector::progress(Time now, bool first) {
     const bool same_pass = now - last_ <= SamePass;
     if (!same_pass && writing_ > 0) {
         const double gap = to_exact_millis(now - last_);
@@ -47,12 +47,12 @@
     }
 }
 
-void StallWatch::ended(bool wrote) {
+void StallDetector::ended(bool wrote) {
     std::uint32_t& count = wrote ? writing_ : reading_;
     count -= count > 0 ? 1 : 0;
 }
 
-Duration StallWatch::patience() const {
+Duration StallDetector::patience() const {
     if (writing_ == 0)
         return std::max(LeastFirstPatience, scaled(first_event_, FirstEventFactor));
     const Duration own_pace = scaled(std::chrono::milliseconds(1), PassesOfPatience * pass_ms_);
@@ -60,7 +60,7 @@
     return std::min(std::max(own_pace, by_figures), MostPatience);
 }
 
-Duration StallWatch::stalled(Time now) const {
+Duration StallDetector::stalled(Time now) const {
     if (waiting() == 0 || now - last_ < patience())
         return Duration::zero();
     return now - last_;
--- a/src/request/stallwatch.h
+++ b/src/request/stalldetector.h
@@ -1,5 +1,5 @@
-#ifndef STALLWATCH_H_INCLUDED
-#define STALLWATCH_H_INCLUDED
+#ifndef STALLDETECTOR_H_INCLUDED
+#define STALLDETECTOR_H_INCLUDED
 
 #include "process/clock.h"
 
@@ -10,7 +10,7 @@
 // Notices that a group stands still, from the streams that one entry host has there. A pass of
 // the engine moves every stream that writes, so silence on all of them for longer than any pass
 // can take means that a member is gone, long before the group itself reports it.
-class StallWatch {
+class StallDetector {
   public:
     // Longest pass of the group's engine, and how long a first event may take; from the engine's
     // figures.
@@ -41,4 +41,4 @@
 
 } // namespace liftweir
 
-#endif // STALLWATCH_H_INCLUDED
+#endif // STALLDETECTOR_H_INCLUDED
--- a/src/request/arrivalhold.cpp
+++ b/src/request/startupqueue.cpp
@@ -1,4 +1,4 @@
-#include "request/arrivalhold.h"
+#include "request/startupqueue.h"
 
 #include <algorithm>
 #include <utility>
@@ -17,29 +17,29 @@
 
 } // namespace
 
-bool ArrivalHold::take(const std::shared_ptr<HttpExchange>& exchange, const CallerRequest& request,
-                       Time now) {
+bool StartupQueue::take(const std::shared_ptr<HttpExchange>& exchange, const CallerRequest& request,
+                        Time now) {
     if (held_.size() >= MostHeld)
         return false;
-    const Duration hold = request.patience
-                              ? std::min(LongestHold, *request.patience / HoldPartOfPatience)
+    const Duration hold = request.time_limit
+                              ? std::min(LongestHold, *request.time_limit / HoldPartOfPatience)
                               : LongestHold;
     const auto gone = std::make_shared<bool>(false);
-    exchange->on_gone([gone] { *gone = true; });
+    exchange->on_disconnect([gone] { *gone = true; });
     held_.push_back({{exchange, request, now + hold}, gone});
     return true;
 }
 
-std::vector<ArrivalHold::Held> ArrivalHold::release() {
-    std::vector<Held> out;
+std::vector<StartupQueue::QueuedRequest> StartupQueue::release() {
+    std::vector<QueuedRequest> out;
     for (Entry& entry : std::exchange(held_, {}))
         if (!*entry.gone)
             out.push_back(std::move(entry.held));
     return out;
 }
 
-std::vector<ArrivalHold::Held> ArrivalHold::expired(Time now) {
-    std::vector<Held> out;
+std::vector<StartupQueue::QueuedRequest> StartupQueue::expired(Time now) {
+    std::vector<QueuedRequest> out;
     std::vector<Entry> still;
     for (Entry& entry : std::exchange(held_, {})) {
         if (*entry.gone)
--- a/src/request/arrivalhold.h
+++ b/src/request/startupqueue.h
@@ -1,5 +1,5 @@
-#ifndef ARRIVALHOLD_H_INCLUDED
-#define ARRIVALHOLD_H_INCLUDED
+#ifndef STARTUPQUEUE_H_INCLUDED
+#define STARTUPQUEUE_H_INCLUDED
 
 #include "connection/httpserver.h"
 #include "request/callerprotocol.h"
@@ -11,9 +11,9 @@
 
 // Requests that came before this entry host had its first settings. They are answered as soon as it
 // has them; a caller that would have to be refused loses one of its few tries.
-class ArrivalHold {
+class StartupQueue {
   public:
-    struct Held {
+    struct QueuedRequest {
         std::shared_ptr<HttpExchange> exchange;
         CallerRequest request;
         Time until{}; // given up then
@@ -23,14 +23,14 @@
     bool take(const std::shared_ptr<HttpExchange>& exchange, const CallerRequest& request,
               Time now);
     // All whose callers still wait, in the order of their arrival.
-    std::vector<Held> release();
+    std::vector<QueuedRequest> release();
     // Those that have waited for too long, and are to be refused now.
-    std::vector<Held> expired(Time now);
+    std::vector<QueuedRequest> expired(Time now);
     std::size_t size() const { return held_.size(); }
 
   private:
     struct Entry {
-        Held held;
+        QueuedRequest held;
         std::shared_ptr<bool> gone; // the caller left
     };
 
@@ -39,4 +39,4 @@
 
 } // namespace liftweir
 
-#endif // ARRIVALHOLD_H_INCLUDED
+#endif // STARTUPQUEUE_H_INCLUDED
--- a/src/request/repeatbudget.cpp
+++ b/src/request/windowedretrybudget.cpp
@@ -1,4 +1,4 @@
-#include "request/repeatbudget.h"
+#include "request/windowedretrybudget.h"
 
 namespace liftweir {
 
@@ -10,10 +10,10 @@
 
 } // namespace
 
-RepeatBudget::RepeatBudget(Duration window, double ratio, std::uint32_t slack)
+WindowedRetryBudget::WindowedRetryBudget(Duration window, double ratio, std::uint32_t slack)
     : window_(window), ratio_(ratio), slack_(slack) {}
 
-RepeatBudget::Slot& RepeatBudget::slot(Time now) {
+WindowedRetryBudget::Slot& WindowedRetryBudget::slot(Time now) {
     const std::int64_t number = now.time_since_epoch() / (window_ / Slots);
     Slot& slot = slots_[static_cast<std::size_t>(number) % slots_.size()];
     if (slot.number != number)
@@ -21,7 +21,7 @@
     return slot;
 }
 
-RepeatBudget::Slot RepeatBudget::sum(Time now) const {
+WindowedRetryBudget::Slot WindowedRetryBudget::sum(Time now) const {
     const std::int64_t number = now.time_since_epoch() / (window_ / Slots);
     Slot total;
     for (const Slot& slot : slots_) {
@@ -33,25 +33,25 @@
     return total;
 }
 
-void RepeatBudget::request(Time now) {
+void WindowedRetryBudget::request(Time now) {
     ++slot(now).requests;
 }
 
-bool RepeatBudget::has_left(Time now) const {
+bool WindowedRetryBudget::has_left(Time now) const {
     const Slot total = sum(now);
     const double allowed =
         UsedPart * (ratio_ * total.requests + share_ * static_cast<double>(slack_));
     return total.repeats + 1 <= allowed;
 }
 
-bool RepeatBudget::take(Time now) {
+bool WindowedRetryBudget::take(Time now) {
     if (!has_left(now))
         return false;
     ++slot(now).repeats;
     return true;
 }
 
-std::uint32_t RepeatBudget::used(Time now) {
+std::uint32_t WindowedRetryBudget::used(Time now) {
     return sum(now).repeats;
 }
 
--- a/src/request/repeatbudget.h
+++ b/src/request/windowedretrybudget.h
@@ -1,5 +1,5 @@
-#ifndef REPEATBUDGET_H_INCLUDED
-#define REPEATBUDGET_H_INCLUDED
+#ifndef WINDOWEDRETRYBUDGET_H_INCLUDED
+#define WINDOWEDRETRYBUDGET_H_INCLUDED
 
 #include "process/clock.h"
 
@@ -11,9 +11,9 @@
 // Repeats that one entry host may send to one service in a sliding window: a ratio of its own
 // requests, and its part of a slack that all entry hosts share. Sends beyond the first one of a
 // request count, whether they were accepted or not.
-class RepeatBudget {
+class WindowedRetryBudget {
   public:
-    RepeatBudget(Duration window, double ratio, std::uint32_t slack);
+    WindowedRetryBudget(Duration window, double ratio, std::uint32_t slack);
 
     void request(Time now);
     // Whether take() would succeed now.
@@ -45,4 +45,4 @@
 
 } // namespace liftweir
 
-#endif // REPEATBUDGET_H_INCLUDED
+#endif // WINDOWEDRETRYBUDGET_H_INCLUDED
--- a/src/version/deployment.h
+++ b/src/version/deployment.h
@@ -64,17 +64,17 @@
 
 // What an engine's work costs. Times are for pace 1.
 struct EngineCost {
-    std::uint32_t slots = 1;         // requests that a group works on at once
-    double step_ms = 0;              // one token step
-    double step_ms_per_sequence = 0; // more for each request that writes
-    double read_tokens_per_ms = 1;   // prompt tokens
-    std::uint32_t chunk = 1;         // prompt tokens read in one pass at most
-    std::uint32_t stride = 1;        // token steps in one pass, each pass an event
-    double loads_per_second = 1;     // loads that may begin, over all hosts
-    std::uint32_t loads_at_once = 1; // more slow each other down
-    Duration open_delay{};           // from the order to open until a group serves
-    double far_factor = 1;           // on all times of a group whose hosts are in two domains
-    std::uint32_t staged_kept = 1;   // models that a host keeps on its disk
+    std::uint32_t slots = 1;             // requests that a group works on at once
+    double step_ms = 0;                  // one token step
+    double step_ms_per_sequence = 0;     // more for each request that writes
+    double read_tokens_per_ms = 1;       // prompt tokens
+    std::uint32_t chunk = 1;             // prompt tokens read in one pass at most
+    std::uint32_t steps_per_pass = 1;    // token steps in one pass, each pass an event
+    double loads_per_second = 1;         // loads that may begin, over all hosts
+    std::uint32_t loads_at_once = 1;     // more slow each other down
+    Duration open_delay{};               // from the order to open until a group serves
+    double cross_domain_factor = 1;      // on all times of a group whose hosts are in two domains
+    std::uint32_t max_staged_models = 1; // models that a host keeps on its disk
     std::vector<ModelShape> models;
 
     auto operator<=>(const EngineCost&) const = default;
--- a/src/version/endpointid.cpp
+++ b/src/version/endpointid.cpp
@@ -3,7 +3,7 @@
 namespace liftweir {
 
 std::string text_of(const EndpointId& id) {
-    return id.tells_start() ? id.name + "@" + std::to_string(id.started_ms) : id.name;
+    return id.has_start_time() ? id.name + "@" + std::to_string(id.started_ms) : id.name;
 }
 
 } // namespace liftweir
--- a/src/version/endpointid.h
+++ b/src/version/endpointid.h
@@ -24,7 +24,7 @@
     MSGPACK_DEFINE(name, started_ms)
 
     bool empty() const { return name.empty(); }
-    bool tells_start() const { return started_ms != 0; }
+    bool has_start_time() const { return started_ms != 0; }
     // An earlier start under the same name.
     bool started_before(const EndpointId& other) const {
         return name == other.name && started_ms < other.started_ms;
--- a/tests/site/sitefleet.py
+++ b/tests/site/sitefleet.py
@@ -89,11 +89,11 @@
 
 class Site:
     def __init__(self, controls=3, entries=2, workers=(4, 4), plain=2, tolerance=1, seed=1,
-                 net=NET, proxy=None, tells_start=True):
+                 net=NET, proxy=None, has_start_time=True):
         self.folder = tempfile.mkdtemp(prefix="liftweir-site-")
         build = os.environ.get("LIFTWEIR_BUILD", "build/release")
         self.fleet, self.net = Fleet(seed, net), net
-        self.fleet.tells_start = tells_start
+        self.fleet.has_start_time = has_start_time
         self.fleet.controls = ["127.%d.1.%d:%d" % (net, n + 1, CONTROL) for n in range(controls)]
         self.controls, self.entries, self.workers = [], [], []
         self.version, self.acked, self.revoked = 0, 0, {}
--- a/tests/site/standin.py
+++ b/tests/site/standin.py
@@ -31,7 +31,7 @@
         self.poison = None  # a body that ends whoever begins to run it
         self.poison_read_s = 0.04  # until it does
         self.poison_runs = []  # when it reached a worker
-        self.tells_start = True  # workers say when they began; else they come back under their names
+        self.has_start_time = True  # workers say when they began; else they come back under their names
         self.broken_off = None  # a body whose connection breaks, though its worker goes on
         self.ended = []     # when a worker was ended by it
         self.arrivals = []  # (time, worker id) of requests
@@ -99,7 +99,7 @@
 
     async def start_again(self, seconds):
         await asyncio.sleep(seconds)
-        self.restart(under_its_name=not self.fleet.tells_start)
+        self.restart(under_its_name=not self.fleet.has_start_time)
         self.server = await http1.serve(self.address, self.handle)
 
     # ---- registration
@@ -115,7 +115,7 @@
         word = {"service": self.service, "address": self.address, "zone": "z1", "slots": 48,
                 "version": "v1", "cold-remaining-ms": 0, "state": self.state,
                 "sequence": self.sequence}
-        return {**word, "born": self.born} if self.fleet.tells_start else word
+        return {**word, "born": self.born} if self.fleet.has_start_time else word
 
     async def report(self):
         self.sequence += 1
--- a/tests/site/test_poisonous.py
+++ b/tests/site/test_poisonous.py
@@ -144,4 +144,4 @@
         assert len(late_runs(site.fleet)) <= MORE_AT_MOST, "%d ended" % len(site.fleet.ended)
         assert set(await held(site)) == {1}
 
-    play(scenario, workers=(8, 8), entries=3, tells_start=False)
+    play(scenario, workers=(8, 8), entries=3, has_start_time=False)
--- a/tests/stand/fake-engine.cpp
+++ b/tests/stand/fake-engine.cpp
@@ -186,7 +186,7 @@
         execution["ms"] = Json::Int64(wall_millis());
         execution["fence"] = Json::UInt64(fence_);
         executions_.append(execution);
-        e->on_gone([s] { s->gone = true; });
+        e->on_disconnect([s] { s->gone = true; });
         if (s->streamed)
             e->begin(200, {{"Content-Type", "text/event-stream"}});
         s->timer.expires_after(millis(prefill(s->prompt)));
--- a/tests/unit/call_test.cpp
+++ b/tests/unit/call_test.cpp
@@ -10,7 +10,7 @@
 
 constexpr Time Start{std::chrono::seconds(100)};
 
-class Places final : public Placer {
+class Places final : public EndpointPicker {
   public:
     std::optional<Place> place(const CallSpec&, const std::vector<std::uint64_t>& avoid,
                                bool must_resume, const std::string& version, Time) override {
--- a/tests/unit/callerapi_test.cpp
+++ b/tests/unit/callerapi_test.cpp
@@ -24,14 +24,14 @@
         return {};
     }
     Time received() const override { return {}; }
-    bool on_kept_connection() const override { return false; }
+    bool on_reused_connection() const override { return false; }
     void respond(int, const HttpHeaders&, std::string) override {}
     void begin(int, const HttpHeaders&) override {}
     void write(std::string, std::function<void(bool)>) override {}
     void finish() override {}
     void abort() override {}
     std::optional<Time> left() const override { return {}; }
-    void on_gone(std::function<void()>) override {}
+    void on_disconnect(std::function<void()>) override {}
 
     std::string method_ = "POST";
     std::string path_ = "/v1/completions";
@@ -154,7 +154,7 @@
         R"("max_tokens":64,"n":1,"temperature":0.7,"top_p":1,"stream":true,"stop":["a","b"],)"
         R"("seed":-9,"logprobs":null,"user":"u","logit_bias":{"50256":-100},"max_completion_tokens":null)"));
     ASSERT_TRUE(plain.has_value()) << plain.error().detail;
-    EXPECT_EQ(plain->spec.tokens_hint, 64u);
+    EXPECT_EQ(plain->spec.expected_tokens, 64u);
     EXPECT_TRUE(plain->spec.streamed);
     const auto talk = parse(
         chat(
@@ -165,7 +165,7 @@
         "/v1/chat/completions");
     ASSERT_TRUE(talk.has_value()) << talk.error().detail;
     EXPECT_EQ(talk->spec.deadline, Now + std::chrono::milliseconds(250));
-    EXPECT_EQ(talk->spec.tokens_hint, 9u);
+    EXPECT_EQ(talk->spec.expected_tokens, 9u);
     EXPECT_TRUE(parse(completion("\"max_tokens\":0")));
     EXPECT_TRUE(parse(completion("\"max_tokens\":1048576")));
     EXPECT_TRUE(parse("{}", {{"Idempotency-Key", std::string(256, 'k')}}, "/services/quotes/save"));
--- a/tests/unit/callerwait_test.cpp
+++ b/tests/unit/callerwait_test.cpp
@@ -11,8 +11,8 @@
 constexpr Time Start = Time{} + seconds(100);
 constexpr Duration Limit = seconds(6);
 
-TEST(CallerWaits, WhoNamesLessThanTheOthersHasTriedBefore) {
-    CallerWaits waits;
+TEST(CallerWaitEstimator, WhoNamesLessThanTheOthersHasTriedBefore) {
+    CallerWaitEstimator waits;
     for (int i = 0; i < 100; ++i)
         EXPECT_EQ(waits.waited("r", milliseconds(5950), Limit, Start + milliseconds(i * 100)),
                   Duration::zero());
@@ -23,14 +23,14 @@
 }
 
 // Right after a start there is nothing to compare with but what operators set.
-TEST(CallerWaits, TheRoutesTimeoutIsBelievedUntilCallersWereSeen) {
-    CallerWaits waits;
+TEST(CallerWaitEstimator, TheRoutesTimeoutIsBelievedUntilCallersWereSeen) {
+    CallerWaitEstimator waits;
     EXPECT_EQ(waits.waited("r", milliseconds(4500), Limit, Start), milliseconds(1500));
     EXPECT_EQ(waits.waited("r", milliseconds(5990), Limit, Start), Duration::zero());
 }
 
-TEST(CallerWaits, CallersWithLimitsOfTheirOwnHaveNotWaited) {
-    CallerWaits waits;
+TEST(CallerWaitEstimator, CallersWithLimitsOfTheirOwnHaveNotWaited) {
+    CallerWaitEstimator waits;
     const auto limit_of = [](int i) { return milliseconds(3000 + (i * 7919) % 3000); };
     for (int i = 0; i < 300; ++i)
         (void)waits.waited("r", limit_of(i), Limit, Start + milliseconds(i * 50));
@@ -39,8 +39,8 @@
                   Duration::zero());
 }
 
-TEST(CallerWaits, WhoWouldHaveComeBackSoonerThanAnyoneIsToldToHasNotWaited) {
-    CallerWaits waits;
+TEST(CallerWaitEstimator, WhoWouldHaveComeBackSoonerThanAnyoneIsToldToHasNotWaited) {
+    CallerWaitEstimator waits;
     for (int i = 0; i < 200; ++i) {
         const auto patience = milliseconds(5150 + (i * 7919) % 850);
         EXPECT_EQ(waits.waited("often", patience, Limit, Start + milliseconds(i * 40)),
@@ -48,11 +48,12 @@
         EXPECT_EQ(waits.waited("seldom", patience, Limit, Start + seconds(i)), Duration::zero());
     }
     // They return after the second that they were told, and are known by it.
-    EXPECT_GE(waits.waited("new", milliseconds(4500), Limit, Start), CallerWaits::SoonestReturn);
+    EXPECT_GE(waits.waited("new", milliseconds(4500), Limit, Start),
+              CallerWaitEstimator::SoonestReturn);
 }
 
-TEST(CallerWaits, CallersOfSeldomRoutesAreLearnedToo) {
-    CallerWaits waits;
+TEST(CallerWaitEstimator, CallersOfSeldomRoutesAreLearnedToo) {
+    CallerWaitEstimator waits;
     const auto limit_of = [](int i) { return milliseconds(6800 + (i * 7919) % 1200); };
     for (int i = 0; i < 45; ++i)
         (void)waits.waited("r", limit_of(i), seconds(8), Start + seconds(i));
@@ -60,8 +61,8 @@
         EXPECT_EQ(waits.waited("r", limit_of(i), seconds(8), Start + seconds(i)), Duration::zero());
 }
 
-TEST(CallerWaits, CallersOfAShorterLimitThanTheRoutesAreLearned) {
-    CallerWaits waits;
+TEST(CallerWaitEstimator, CallersOfAShorterLimitThanTheRoutesAreLearned) {
+    CallerWaitEstimator waits;
     for (int i = 0; i < 100; ++i)
         (void)waits.waited("r", seconds(4), Limit, Start + milliseconds(i * 110));
     EXPECT_EQ(waits.waited("r", seconds(4), Limit, Start + seconds(12)), Duration::zero());
--- a/tests/unit/coldpace_test.cpp
+++ b/tests/unit/coldpace_test.cpp
@@ -3,7 +3,7 @@
 
 #include "process/groupname.h"
 #include "request/directory.h"
-#include "unit/groupplayer.h"
+#include "unit/groupsimulator.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -25,7 +25,7 @@
 constexpr int WarmLeads = 3;
 
 Service service() {
-    Service service{"llm", 562, played_engine()};
+    Service service{"llm", 562, simulated_engine()};
     service.cold_calls_per_second = ColdCallsPerSecond;
     return service;
 }
@@ -60,7 +60,7 @@
     std::vector<std::unique_ptr<Directory>> hosts;
     for (int n = 0; n < entry_hosts; ++n) {
         hosts.push_back(std::make_unique<Directory>(random()));
-        hosts.back()->set_others(entry_hosts);
+        hosts.back()->set_fleet_load_ratio(entry_hosts);
         for (int l = 0; l <= WarmLeads; ++l)
             hosts.back()->registry().merge(lead(l, l == WarmLeads), Start);
     }
--- a/tests/unit/directory_test.cpp
+++ b/tests/unit/directory_test.cpp
@@ -1,7 +1,7 @@
 #include "request/directory.h"
 
 #include "process/groupname.h"
-#include "unit/groupplayer.h"
+#include "unit/groupsimulator.h"
 
 #include <gtest/gtest.h>
 
@@ -23,7 +23,7 @@
 TEST(Directory, AnEndpointIsGivenNoMoreConnectionsThanThisHostsPartOfItsBound) {
     Directory directory(7);
     directory.registry().merge(plain("i-1", "10.0.0.1:80"), Start);
-    directory.set_others(5);
+    directory.set_fleet_load_ratio(5);
     const Service service{"app", 50, std::nullopt};
     Demand demand;
     demand.service = &service;
@@ -40,13 +40,13 @@
 
 TEST(Directory, ALongPromptIsLetInWhereAShortOneIs) {
     Directory directory(7);
-    const Service service{"llm", 400, played_engine()};
+    const Service service{"llm", 400, simulated_engine()};
     EndpointReport lead = plain("i-1", "10.0.0.1:80");
     lead.service = "llm";
     lead.membership = {.group = group_name("model", 7, false), .epoch = 7, .rank = 0};
     lead.membership.state = MemberState::Open;
     directory.registry().merge(lead, Start);
-    directory.use("i-1").load = {.writing = 30, .reading = 4, .reading_tokens = 5600};
+    directory.use("i-1").load = {.decoding = 30, .prefilling = 4, .prefill_tokens = 5600};
     Demand demand;
     demand.service = &service;
     demand.model = "model";
@@ -55,7 +55,7 @@
         demand.engine.prompt_tokens = tokens;
         EXPECT_TRUE(directory.pick(demand, {}, Start)) << tokens;
     }
-    directory.use("i-1").load.reading_tokens = 20000;
+    directory.use("i-1").load.prefill_tokens = 20000;
     for (const std::uint32_t tokens : {1400u, 5900u}) {
         demand.engine.prompt_tokens = tokens;
         EXPECT_FALSE(directory.pick(demand, {}, Start)) << tokens;
@@ -65,7 +65,7 @@
 // A host whose part is small now may get a crowd in the next second.
 TEST(Directory, SomeConnectionsAreAlwaysAllowed) {
     Directory directory(7);
-    directory.set_others(50);
+    directory.set_fleet_load_ratio(50);
     EXPECT_EQ(directory.connections_allowed({"app", 400, std::nullopt}), 25u);
     EXPECT_EQ(directory.connections_allowed({"app", 1, std::nullopt}), 2u);
 }
@@ -86,12 +86,12 @@
 TEST(Registry, AMergedReportIsAsOldAsItsSource) {
     Registry registry;
     registry.merge(plain("i-1", "10.0.0.1:80"), Start - std::chrono::seconds(9));
-    EXPECT_EQ(registry.find("i-1")->heard, Start - std::chrono::seconds(9));
+    EXPECT_EQ(registry.find("i-1")->last_contact, Start - std::chrono::seconds(9));
     EndpointReport later = plain("i-1", "10.0.0.1:80");
     later.sequence = 2;
-    registry.heard("i-1", Start);
+    registry.seen_alive("i-1", Start);
     registry.merge(later, Start - std::chrono::seconds(1));
-    EXPECT_EQ(registry.find("i-1")->heard, Start);
+    EXPECT_EQ(registry.find("i-1")->last_contact, Start);
 }
 
 } // namespace
--- a/tests/unit/directoryscale_test.cpp
+++ b/tests/unit/directoryscale_test.cpp
@@ -3,7 +3,7 @@
 #include "process/groupname.h"
 #include "request/directory.h"
 #include "unit/cputime.h"
-#include "unit/groupplayer.h"
+#include "unit/groupsimulator.h"
 
 #include <gtest/gtest.h>
 
@@ -22,8 +22,8 @@
 constexpr int SizeOfSmall = 2;
 
 EngineCost engine() {
-    EngineCost e = played_engine();
-    e.far_factor = 3;
+    EngineCost e = simulated_engine();
+    e.cross_domain_factor = 3;
     e.models = {{"large", SizeOfLarge, 0.67, 1.0, seconds(16), {}},
                 {"small", SizeOfSmall, 0.33, 0.6, seconds(12), {}}};
     return e;
--- a/tests/unit/rosterfile_test.cpp
+++ b/tests/unit/endpointcachefile_test.cpp
@@ -1,4 +1,4 @@
-#include "process/rosterfile.h"
+#include "process/endpointcachefile.h"
 #include "unit/memstorage.h"
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
 // The write is done by another thread.
 std::vector<EndpointReport> kept(const std::shared_ptr<Storage>& storage) {
     for (int i = 0; i < 200; ++i) {
-        auto reports = RosterFile(storage).load();
+        auto reports = EndpointCacheFile(storage).load();
         if (!reports.empty())
             return reports;
         std::this_thread::sleep_for(std::chrono::milliseconds(10));
@@ -32,11 +32,11 @@
     return {};
 }
 
-TEST(RosterFile, KeepsWhoServesAndWasHeardLately) {
+TEST(EndpointCacheFile, KeepsWhoServesAndWasHeardLately) {
     auto folder = open_folder(testing::TempDir() + "/roster-keeps");
     ASSERT_TRUE(folder);
     const std::shared_ptr<Storage> storage = std::move(*folder);
-    RosterFile roster(storage);
+    EndpointCacheFile roster(storage);
     EXPECT_TRUE(roster.load().empty());
     Registry registry;
     registry.merge(endpoint("heard"), Start);
@@ -50,10 +50,10 @@
     ASSERT_TRUE(storage->remove("endpoints"));
 }
 
-TEST(RosterFile, AFileThatCanNotBeReadIsLikeNone) {
+TEST(EndpointCacheFile, AFileThatCanNotBeReadIsLikeNone) {
     const auto storage = std::make_shared<MemStorage>();
     ASSERT_TRUE(storage->replace("endpoints", "\xff\x00 not a roster"));
-    EXPECT_TRUE(RosterFile(storage).load().empty());
+    EXPECT_TRUE(EndpointCacheFile(storage).load().empty());
 }
 
 // Refuses the first writes, as a full disk does for a while.
@@ -68,9 +68,9 @@
     std::atomic<int> left_;
 };
 
-TEST(RosterFile, AWriteThatFailsIsTriedAgainThoughNothingChanges) {
+TEST(EndpointCacheFile, AWriteThatFailsIsTriedAgainThoughNothingChanges) {
     const auto storage = std::make_shared<FullForAWhile>(2);
-    RosterFile roster(storage);
+    EndpointCacheFile roster(storage);
     Registry registry;
     registry.merge(endpoint("heard"), Start);
     roster.keep(registry, Start);
--- a/tests/unit/endpointlimits_test.cpp
+++ b/tests/unit/endpointlimits_test.cpp
@@ -1,7 +1,7 @@
 // Endpoints that name a limit, played with many entry hosts and one that lends, over links that
 // lose messages.
 
-#include "process/limitlender.h"
+#include "process/limitallocator.h"
 #include "request/endpointlimits.h"
 
 #include <gtest/gtest.h>
@@ -53,7 +53,7 @@
 class Player {
   public:
     explicit Player(const Shape& shape) : shape_(shape), random_(shape.seed) {
-        lender_.take_over(Start - seconds(60));
+        allocator_.take_over(Start - seconds(60));
         for (int n = 0; n < shape.hosts; ++n)
             hosts_.push_back(make_host(n));
     }
@@ -98,7 +98,7 @@
         Incarnation incarnation = 0;
         Time arrives{};
         Time until{};
-        std::vector<LimitLoan> loans;
+        std::vector<LimitShare> limit_shares;
     };
 
     bool chance(double part) {
@@ -127,8 +127,8 @@
             hosts_[random_() % hosts_.size()]->cut_until = now + seconds(6);
         if (shape_.leader_change && !changed_ && now > Start + time / 2) {
             changed_ = true;
-            lender_ = {};
-            lender_.take_over(now);
+            allocator_ = {};
+            allocator_.take_over(now);
         }
     }
 
@@ -136,7 +136,7 @@
         if (now < expire_due_)
             return;
         expire_due_ = now + seconds(1);
-        lender_.expire(now);
+        allocator_.expire(now);
     }
 
     double weights() const {
@@ -171,12 +171,12 @@
         if (chance(shape_.loss))
             return;
         const std::string name = "front-" + std::to_string(n);
-        lender_.seen(name, host.incarnation, host.calls, now);
-        book_.heard(Endpoint, shape_.limit, now);
-        auto loans = lender_.lend(name, book_, now);
-        if (loans && !chance(shape_.loss))
+        allocator_.seen(name, host.incarnation, host.calls, now);
+        book_.add_report(Endpoint, shape_.limit, now);
+        auto limit_shares = allocator_.grant_shares(name, book_, now);
+        if (limit_shares && !chance(shape_.loss))
             under_way_.push_back({n, host.incarnation, now + milliseconds(random_() % 40),
-                                  now + LoanTime, std::move(*loans)});
+                                  now + LimitShareTime, std::move(*limit_shares)});
     }
 
     void deliver(Time now) {
@@ -184,7 +184,7 @@
             if (loan.arrives > now)
                 return false;
             if (hosts_[loan.host]->incarnation == loan.incarnation)
-                hosts_[loan.host]->limits.lend(loan.loans, loan.until);
+                hosts_[loan.host]->limits.grant_shares(loan.limit_shares, loan.until);
             return true;
         });
     }
@@ -197,7 +197,7 @@
             ++n;
         Host& host = *hosts_[n];
         ++host.calls;
-        host.limits.book().heard(Endpoint, shape_.limit, now);
+        host.limits.book().add_report(Endpoint, shape_.limit, now);
         if (host.limits.wait(Endpoint, now) > Duration::zero())
             return false;
         host.limits.sent(Endpoint, now);
@@ -207,8 +207,8 @@
     Shape shape_;
     std::minstd_rand random_;
     std::vector<std::unique_ptr<Host>> hosts_;
-    LimitLender lender_;
-    LimitBook book_;
+    LimitAllocator allocator_;
+    ReportedLimits book_;
     std::vector<Loan> under_way_;
     std::deque<Time> arrivals_;
     Time expire_due_{};
@@ -257,35 +257,36 @@
 }
 
 TEST(EndpointLimits, ALeaderLendsNothingBeforeTheLoansOfTheOneBeforeHaveEnded) {
-    LimitBook book;
-    book.heard(Endpoint, 4, Start);
-    LimitLender lender;
+    ReportedLimits book;
+    book.add_report(Endpoint, 4, Start);
+    LimitAllocator lender;
     lender.take_over(Start);
     lender.seen("front-0", 1, 0, Start);
-    EXPECT_FALSE(lender.lend("front-0", book, Start + LoanTime));
-    EXPECT_TRUE(lender.lend("front-0", book, Start + LoanTime + seconds(2)));
+    EXPECT_FALSE(lender.grant_shares("front-0", book, Start + LimitShareTime));
+    EXPECT_TRUE(lender.grant_shares("front-0", book, Start + LimitShareTime + seconds(2)));
 }
 
 TEST(EndpointLimits, WhoWasLentAllKeepsItsPartUntilTheLoanEnds) {
-    LimitBook book;
-    book.heard(Endpoint, 4, Start);
-    LimitLender lender;
+    ReportedLimits book;
+    book.add_report(Endpoint, 4, Start);
+    LimitAllocator lender;
     lender.take_over(Start - seconds(60));
     lender.seen("front-0", 1, 0, Start);
-    EXPECT_EQ(lender.lend("front-0", book, Start)->front().part, 1);
+    EXPECT_EQ(lender.grant_shares("front-0", book, Start)->front().part, 1);
     lender.seen("front-1", 1, 0, Start);
     const Time last = Start + milliseconds(3900);
-    EXPECT_EQ(lender.lend("front-0", book, last)->front().part, 1);
-    EXPECT_EQ(lender.lend("front-0", book, last + seconds(1))->front().part, 0.5);
-    EXPECT_EQ(lender.lend("front-1", book, last + seconds(1))->front().part, 0);
-    const auto later = lender.lend("front-1", book, last + LoanTime + milliseconds(10));
+    EXPECT_EQ(lender.grant_shares("front-0", book, last)->front().part, 1);
+    EXPECT_EQ(lender.grant_shares("front-0", book, last + seconds(1))->front().part, 0.5);
+    EXPECT_EQ(lender.grant_shares("front-1", book, last + seconds(1))->front().part, 0);
+    const auto later =
+        lender.grant_shares("front-1", book, last + LimitShareTime + milliseconds(10));
     EXPECT_EQ(later->front().part, 0.5);
 }
 
 TEST(EndpointLimits, CallersThatAreRefusedReturnOneAfterTheOther) {
     EndpointLimits limits;
-    limits.book().heard(Endpoint, 2, Start);
-    limits.lend({{Endpoint, 1}}, Start + LoanTime);
+    limits.book().add_report(Endpoint, 2, Start);
+    limits.grant_shares({{Endpoint, 1}}, Start + LimitShareTime);
     Duration last{};
     for (int n = 0; n < 6; ++n) {
         const Duration after = limits.return_after(Endpoint, Start);
@@ -297,17 +298,17 @@
 
 TEST(EndpointLimits, ATinyPartIsNoPermission) {
     EndpointLimits limits;
-    limits.book().heard(Endpoint, 2, Start);
-    limits.lend({{Endpoint, 1e-17}}, Start + LoanTime);
+    limits.book().add_report(Endpoint, 2, Start);
+    limits.grant_shares({{Endpoint, 1e-17}}, Start + LimitShareTime);
     EXPECT_GT(limits.wait(Endpoint, Start), seconds(60));
 }
 
 TEST(EndpointLimits, AnEndpointWithoutALimitIsAlwaysFree) {
     EndpointLimits limits;
     EXPECT_EQ(limits.wait(Endpoint, Start), Duration::zero());
-    limits.book().heard(Endpoint, 2, Start);
+    limits.book().add_report(Endpoint, 2, Start);
     EXPECT_GT(limits.wait(Endpoint, Start), Duration::zero());
-    limits.book().heard(Endpoint, 0, Start + seconds(1));
+    limits.book().add_report(Endpoint, 0, Start + seconds(1));
     EXPECT_EQ(limits.wait(Endpoint, Start + seconds(1)), Duration::zero());
 }
 
--- a/tests/unit/endpointstart_test.cpp
+++ b/tests/unit/endpointstart_test.cpp
@@ -3,8 +3,8 @@
 
 #include "platform/json.h"
 #include "platform/workers.h"
+#include "process/endpointcachefile.h"
 #include "process/registry.h"
-#include "process/rosterfile.h"
 #include "unit/memstorage.h"
 
 #include <gtest/gtest.h>
@@ -57,7 +57,7 @@
     EXPECT_TRUE(stands(registry, start_of("i-1", 2)));
     EXPECT_FALSE(stands(registry, start_of("i-1", 1)));
     EXPECT_FALSE(registry.find(start_of("i-1", 2))->report.grouped());
-    EXPECT_EQ(registry.take_settled(), std::vector<EndpointId>{start_of("i-1", 1)});
+    EXPECT_EQ(registry.take_resolved(), std::vector<EndpointId>{start_of("i-1", 1)});
     EXPECT_TRUE(registry.replaced(registry.find(start_of("i-1", 1))->report));
 }
 
@@ -92,7 +92,7 @@
     gone.phase = EndpointPhase::Gone;
     registry.merge(gone, Start + milliseconds(10));
     EXPECT_FALSE(stands(registry, start_of("i-1", 1)));
-    EXPECT_EQ(registry.take_settled(), std::vector<EndpointId>{start_of("i-1", 1)});
+    EXPECT_EQ(registry.take_resolved(), std::vector<EndpointId>{start_of("i-1", 1)});
     registry.merge(report_of(start_of("i-1", 2), 1), Start + seconds(2));
     EXPECT_FALSE(registry.merge(gone, Start + milliseconds(10))); // once more, in a full copy
     EXPECT_TRUE(stands(registry, start_of("i-1", 2)));
@@ -145,7 +145,7 @@
         for (std::size_t n = 0; n < 2 * Hosts; ++n) {
             const auto items = hosts_[(first + n) % Hosts].items();
             for (const auto& [id, item] : items)
-                hosts_[(first + n + 1) % Hosts].merge(item.report, item.heard);
+                hosts_[(first + n + 1) % Hosts].merge(item.report, item.last_contact);
             check_order(now);
         }
     }
@@ -195,7 +195,7 @@
     EXPECT_TRUE(stands(registry, start_of("i-1", 2)));
     EXPECT_FALSE(stands(registry, start_of("i-1", 1)));
     // Found by reading: the remembered start was told of as ended, and was not there any more.
-    for (const EndpointId& id : registry.take_settled())
+    for (const EndpointId& id : registry.take_resolved())
         EXPECT_NE(registry.find(id), nullptr) << text_of(id);
 }
 
--- a/tests/unit/fleet_test.cpp
+++ b/tests/unit/fleet_test.cpp
@@ -1,14 +1,14 @@
 // Membership of control hosts and registrations of endpoints.
 
 #include "connection/codec.h"
-#include "process/fleetconfig.h"
 #include "process/loadbudget.h"
 #include "process/node.h"
 #include "process/registry.h"
-#include "process/voterkeeper.h"
+#include "process/siteconfig.h"
+#include "process/voterselector.h"
 #include "request/groupload.h"
-#include "request/repeatbudget.h"
-#include "request/stallwatch.h"
+#include "request/stalldetector.h"
+#include "request/windowedretrybudget.h"
 #include "unit/memstorage.h"
 
 #include <gtest/gtest.h>
@@ -214,32 +214,32 @@
     }
     static NodeView live(NodeId n) { return {n, true, milliseconds(50)}; }
     static NodeView silent(NodeId n) { return {n, false, seconds(5)}; }
-    VoterKeeper keeper_{5};
+    VoterSelector voter_selector_{5};
 };
 
 TEST_F(KeeperTest, GrowsOneAtATimeUpToTheTarget) {
     const Voters three{node(1), node(2), node(3)};
     const std::vector<NodeView> all{live(node(2)), live(node(3)), live(node(4)), live(node(5))};
-    const auto next = keeper_.next(node(1), three, all);
+    const auto next = voter_selector_.next(node(1), three, all);
     ASSERT_TRUE(next);
     EXPECT_EQ(next->size(), 4u);
 }
 
 TEST_F(KeeperTest, TakesNoSpareThatLagsBehind) {
     const Voters three{node(1), node(2), node(3)};
-    EXPECT_FALSE(keeper_.next(node(1), three,
-                              {live(node(2)), live(node(3)), {node(4), false, milliseconds(10)}}));
+    EXPECT_FALSE(voter_selector_.next(
+        node(1), three, {live(node(2)), live(node(3)), {node(4), false, milliseconds(10)}}));
 }
 
 TEST_F(KeeperTest, ReplacesALostVoterByAddingFirst) {
     const Voters five{node(1), node(2), node(3), node(4), node(5)};
     const std::vector<NodeView> views{live(node(2)), live(node(3)), live(node(4)), silent(node(5)),
                                       live(node(6))};
-    const auto added = keeper_.next(node(1), five, views);
+    const auto added = voter_selector_.next(node(1), five, views);
     ASSERT_TRUE(added);
     EXPECT_TRUE(added->contains(node(6)));
     EXPECT_TRUE(added->contains(node(5)));
-    const auto removed = keeper_.next(node(1), *added, views);
+    const auto removed = voter_selector_.next(node(1), *added, views);
     ASSERT_TRUE(removed);
     EXPECT_FALSE(removed->contains(node(5)));
     EXPECT_EQ(removed->size(), 5u);
@@ -247,8 +247,8 @@
 
 TEST_F(KeeperTest, ReplacesALostVoterByNobodyNever) {
     const Voters five{node(1), node(2), node(3), node(4), node(5)};
-    EXPECT_FALSE(keeper_.next(node(1), five,
-                              {live(node(2)), live(node(3)), silent(node(4)), silent(node(5))}));
+    EXPECT_FALSE(voter_selector_.next(
+        node(1), five, {live(node(2)), live(node(3)), silent(node(4)), silent(node(5))}));
 }
 
 TEST_F(KeeperTest, AWipedVoterIsReplacedByItsSuccessorAtOnce) {
@@ -259,7 +259,7 @@
                                       live(node(4)),
                                       {node(5), false, milliseconds(100)},
                                       live(wiped)};
-    const auto added = keeper_.next(node(1), five, views);
+    const auto added = voter_selector_.next(node(1), five, views);
     ASSERT_TRUE(added);
     EXPECT_TRUE(added->contains(wiped));
 }
@@ -269,7 +269,7 @@
     std::vector<NodeView> views;
     for (int i = 1; i <= 5; ++i)
         views.push_back(live(node(i)));
-    const auto next = keeper_.next(node(6), six, views);
+    const auto next = voter_selector_.next(node(6), six, views);
     ASSERT_TRUE(next);
     EXPECT_TRUE(next->contains(node(6)));
 }
@@ -310,11 +310,11 @@
     other.address = report("1", 0).address;
     registry.merge(other, Start);
     EXPECT_EQ(registry.find("2"), nullptr);
-    const auto questions = registry.take_questions(Start);
-    ASSERT_EQ(questions, (std::vector<Registry::Question>{{other, "1"}}));
-    EXPECT_TRUE(registry.take_questions(Start + milliseconds(100)).empty());
+    const auto questions = registry.take_address_checks(Start);
+    ASSERT_EQ(questions, (std::vector<Registry::AddressCheck>{{other, "1"}}));
+    EXPECT_TRUE(registry.take_address_checks(Start + milliseconds(100)).empty());
     registry.confirmed(questions.front(), Start);
-    EXPECT_EQ(registry.take_settled(), (std::vector<EndpointId>{"1", "2"}));
+    EXPECT_EQ(registry.take_resolved(), (std::vector<EndpointId>{"1", "2"}));
     EXPECT_EQ(registry.find("1")->report.phase, EndpointPhase::Gone);
     EXPECT_EQ(registry.find("2")->report.phase, EndpointPhase::Serving);
     EXPECT_FALSE(registry.merge(report("1", 9), Start));
@@ -366,8 +366,8 @@
     EXPECT_GT(begun.size(), 40u);
 }
 
-TEST(RepeatBudget, RepeatsAreAShareOfRequestsInEveryWindow) {
-    RepeatBudget budget(seconds(10), 0.2, 100);
+TEST(WindowedRetryBudget, RepeatsAreAShareOfRequestsInEveryWindow) {
+    WindowedRetryBudget budget(seconds(10), 0.2, 100);
     budget.set_share(0.2);
     const Time now = Start + seconds(100);
     for (int i = 0; i < 100; ++i)
@@ -392,7 +392,7 @@
     e.step_ms_per_sequence = 0.24;
     e.read_tokens_per_ms = 46;
     e.chunk = 2048;
-    e.stride = 3;
+    e.steps_per_pass = 3;
     return e;
 }
 
@@ -400,9 +400,9 @@
     const ModelShape model{"m", 4, 1, 1, {}, {}};
     GroupLoad idle;
     GroupLoad busy;
-    busy.writing = 6;
-    busy.reading = 2;
-    busy.reading_tokens = 9000;
+    busy.decoding = 6;
+    busy.prefilling = 2;
+    busy.prefill_tokens = 9000;
     const LoadForecast a = forecast(engine(), model, idle, {1400, false}, 5);
     const LoadForecast b = forecast(engine(), model, busy, {1400, false}, 5);
     EXPECT_LT(a.first_event_ms, b.first_event_ms);
@@ -410,8 +410,8 @@
     EXPECT_DOUBLE_EQ(b.in_flight, 40);
 }
 
-TEST(StallWatch, SilenceOfAllWritersIsNoticedAfterTheLongestPass) {
-    StallWatch watch;
+TEST(StallDetector, SilenceOfAllWritersIsNoticedAfterTheLongestPass) {
+    StallDetector watch;
     watch.expect(milliseconds(186), milliseconds(100));
     Time now = Start + seconds(1);
     watch.started(now);
@@ -425,8 +425,8 @@
     EXPECT_EQ(watch.stalled(now + seconds(10)), Duration::zero());
 }
 
-TEST(StallWatch, ARequestThatWaitsToBeReadIsGivenLonger) {
-    StallWatch watch;
+TEST(StallDetector, ARequestThatWaitsToBeReadIsGivenLonger) {
+    StallDetector watch;
     watch.expect(milliseconds(186), milliseconds(100));
     watch.started(Start);
     EXPECT_EQ(watch.stalled(Start + milliseconds(700)), Duration::zero());
@@ -435,22 +435,22 @@
 
 // ---- settings file
 
-TEST(FleetConfig, ReadsTextsAsNumbersAndNamesWhatIsWrong) {
+TEST(SiteConfig, ReadsTextsAsNumbersAndNamesWhatIsWrong) {
     const std::string file = testing::TempDir() + "/fleet.json";
     const auto write = [&](const std::string& text) { std::ofstream(file) << text; };
     write(R"({"name":"a","ip":"10.0.0.1","link_port":7340,"seeds":["10.0.0.1:80"],
               "first_start":true,"revoke_ms":"4000","tolerated_hosts":""})");
-    const auto good = read_fleet_config(file);
+    const auto good = read_site_config(file);
     ASSERT_TRUE(good) << good.error().detail;
     EXPECT_EQ(good->bounds.revoke, milliseconds(4000));
     EXPECT_EQ(good->tolerated_hosts, 1u);
     EXPECT_EQ(good->seed_ips(), std::vector<std::string>{"10.0.0.1"});
     write(R"({"name":"a","ip":"10.0.0.1","link_port":7340,"seeds":[],"revoke_ms":"soon"})");
-    const auto bad = read_fleet_config(file);
+    const auto bad = read_site_config(file);
     ASSERT_FALSE(bad);
     EXPECT_NE(bad.error().detail.find("revoke_ms"), std::string::npos);
     std::remove(file.c_str());
-    EXPECT_FALSE(read_fleet_config(file));
+    EXPECT_FALSE(read_site_config(file));
 }
 
 } // namespace
--- a/tests/unit/gate_test.cpp
+++ b/tests/unit/gate_test.cpp
@@ -1,6 +1,6 @@
 #include "process/gate.h"
-#include "process/inforce.h"
-#include "process/leasekeeper.h"
+#include "process/leaseholder.h"
+#include "process/settingsrollout.h"
 #include "request/fairqueue.h"
 #include "request/limits.h"
 #include "request/retry.h"
@@ -27,10 +27,10 @@
     gate.set_engine_ready(true);
     const auto pings = gate.due_pings(Start);
     ASSERT_EQ(pings.size(), 1u);
-    gate.on_echo({7, pings[0].ping.sequence, 2}, Start);
+    gate.on_ping_reply({7, pings[0].ping.sequence, 2}, Start);
     EXPECT_FALSE(gate.open(Start + milliseconds(100)));
     const Time later = Start + milliseconds(1500);
-    gate.on_echo({7, gate.due_pings(later).at(0).ping.sequence, 2}, later);
+    gate.on_ping_reply({7, gate.due_pings(later).at(0).ping.sequence, 2}, later);
     EXPECT_TRUE(gate.open(later));
 }
 
@@ -40,7 +40,7 @@
     Gate gate(assignment, "lead", 1, Start);
     gate.set_engine_ready(true);
     EXPECT_FALSE(gate.open(Start));
-    gate.on_echo({7, gate.due_pings(Start).at(0).ping.sequence, 2}, Start);
+    gate.on_ping_reply({7, gate.due_pings(Start).at(0).ping.sequence, 2}, Start);
     EXPECT_TRUE(gate.open(Start));
 }
 
@@ -50,7 +50,7 @@
     gate.set_engine_ready(true);
     const auto ping = gate.due_pings(Start).at(0).ping;
     const Time late = Start + milliseconds(1600);
-    gate.on_echo({7, ping.sequence, 2}, late);
+    gate.on_ping_reply({7, ping.sequence, 2}, late);
     EXPECT_FALSE(gate.open(late));
     EXPECT_EQ(gate.missing(late), std::vector<HostName>{"other"});
 }
@@ -71,16 +71,16 @@
         gate.set_engine_ready(true);
         Time now = Start;
         Time newest_proof{};
-        std::vector<std::pair<Time, Echo>> wire;
+        std::vector<std::pair<Time, PingReply>> wire;
         for (const int action :
              *rc::gen::container<std::vector<int>>(200, rc::gen::inRange(0, 8))) {
             now += milliseconds(action * 40);
             for (const DuePing& due : gate.due_pings(now))
-                wire.emplace_back(now, Echo{7, due.ping.sequence, 2});
+                wire.emplace_back(now, PingReply{7, due.ping.sequence, 2});
             if (!wire.empty() && action % 2 == 0) {
                 const auto at = wire.begin() + static_cast<std::ptrdiff_t>(action) %
                                                    static_cast<std::ptrdiff_t>(wire.size());
-                gate.on_echo(at->second, now);
+                gate.on_ping_reply(at->second, now);
                 newest_proof = std::max(newest_proof, at->first);
                 wire.erase(at);
             }
@@ -90,8 +90,8 @@
     }));
 }
 
-Vouch vouch(NodeId node, std::uint64_t sequence, Version logged) {
-    Vouch v;
+LeaseAck lease_ack(NodeId node, std::uint64_t sequence, Version logged) {
+    LeaseAck v;
     v.node = node;
     v.sequence = sequence;
     v.logged = logged;
@@ -100,29 +100,29 @@
     return v;
 }
 
-TEST(LeaseKeeper, NeedsAMajorityThatKnowsNothingNewer) {
-    LeaseKeeper lease({1, 2, 3}, 9);
+TEST(LeaseHolder, NeedsAMajorityThatKnowsNothingNewer) {
+    LeaseHolder lease({1, 2, 3}, 9);
     const auto a = lease.asked(1, Start);
     const auto b = lease.asked(2, Start + milliseconds(10));
-    lease.on_vouch(vouch(1, a, 5), 5, Start + milliseconds(50));
+    lease.on_lease_ack(lease_ack(1, a, 5), 5, Start + milliseconds(50));
     EXPECT_EQ(lease.valid_until(), Time{});
-    lease.on_vouch(vouch(2, b, 6), 5, Start + milliseconds(60));
+    lease.on_lease_ack(lease_ack(2, b, 6), 5, Start + milliseconds(60));
     EXPECT_EQ(lease.valid_until(), Time{}) << "host 2 has logged something newer";
     EXPECT_TRUE(lease.behind());
     const auto c = lease.asked(2, Start + milliseconds(100));
-    lease.on_vouch(vouch(2, c, 6), 6, Start + milliseconds(900));
+    lease.on_lease_ack(lease_ack(2, c, 6), 6, Start + milliseconds(900));
     EXPECT_EQ(lease.valid_until(), Start + SettingsLease) << "counts from the older question";
 }
 
-TEST(LeaseKeeper, APushProvesNoTime) {
-    LeaseKeeper lease({1}, 9);
+TEST(LeaseHolder, APushProvesNoTime) {
+    LeaseHolder lease({1}, 9);
     lease.asked(1, Start);
-    lease.on_vouch(vouch(1, 0, 5), 5, Start);
+    lease.on_lease_ack(lease_ack(1, 0, 5), 5, Start);
     EXPECT_EQ(lease.valid_until(), Time{});
 }
 
-TEST(InForce, WaitsForEveryEntryOrForTheLeases) {
-    InForce force;
+TEST(SettingsRollout, WaitsForEveryEntryOrForTheLeases) {
+    SettingsRollout force;
     force.reset(Start);
     const Time now = Start + std::chrono::seconds(10);
     force.committed(4, now);
@@ -135,8 +135,8 @@
     EXPECT_TRUE(force.reached(9, {"a", "b"}, now + SettingsLeaseWait));
 }
 
-TEST(InForce, ANewLeaderWaitsOutTheLeasesThatItDoesNotKnow) {
-    InForce force;
+TEST(SettingsRollout, ANewLeaderWaitsOutTheLeasesThatItDoesNotKnow) {
+    SettingsRollout force;
     force.reset(Start);
     force.acknowledged("a", 4);
     EXPECT_FALSE(force.reached(4, {"a"}, Start + milliseconds(10)));
--- a/tests/unit/gatewaylink_test.cpp
+++ b/tests/unit/gatewaylink_test.cpp
@@ -16,17 +16,21 @@
 class NoCallers final : public CallerProtocol {
   public:
     CallerRequest read(const HttpExchange&) const override { return {}; }
-    HttpRequestHead forward(const HttpExchange&, const ForwardNote&) const override { return {}; }
-    AnswerNote judge(const HttpResponseHead&, const CallerRequest&) const override { return {}; }
-    HttpHeaders own_answer(const CallerRequest&, Duration) const override { return {}; }
+    HttpRequestHead forward(const HttpExchange&, const ForwardedFields&) const override {
+        return {};
+    }
+    ResponseSignals parse_response(const HttpResponseHead&, const CallerRequest&) const override {
+        return {};
+    }
+    HttpHeaders own_answer_headers(const CallerRequest&, Duration) const override { return {}; }
 };
 
 // A control host that answers questions while it is told to.
 struct EntryHostsLink : testing::Test {
     EntryHostsLink() {
         listener.start([this](const Link::Ptr& link) { links.push_back(link); },
-                       [this](const Link::Ptr& link, Wire&& message) {
-                           if (const auto* renew = std::get_if<Renew>(&message))
+                       [this](const Link::Ptr& link, WireMessage&& message) {
+                           if (const auto* renew = std::get_if<LeaseRenewal>(&message))
                                on_renew(link, *renew);
                        },
                        [this](const Link::Ptr&) { ++ended; });
@@ -41,14 +45,14 @@
             Metrics::instance().gauge(name, [] { return 0.0; });
     }
 
-    void on_renew(const Link::Ptr& link, const Renew& renew) {
+    void on_renew(const Link::Ptr& link, const LeaseRenewal& renew) {
         ++questions;
         if (link == deaf)
             return;
-        Vouch vouch;
-        vouch.node = 1;
-        vouch.sequence = renew.sequence;
-        link->send(vouch);
+        LeaseAck lease_ack;
+        lease_ack.node = 1;
+        lease_ack.sequence = renew.sequence;
+        link->send(lease_ack);
         ++answers;
     }
 
@@ -59,8 +63,8 @@
             .local_endpoint()
             .port();
     }
-    static FleetConfig config_for(std::uint16_t port) {
-        FleetConfig config;
+    static SiteConfig config_for(std::uint16_t port) {
+        SiteConfig config;
         config.name = "e";
         config.ip = "127.0.0.1";
         config.link_port = port;
@@ -128,8 +132,8 @@
             : node(number),
               listener(all.io, ip + ":" + std::to_string(all.port), all.self, all.keys) {
             listener.start([](const Link::Ptr&) {},
-                           [this, &all](const Link::Ptr& link, Wire&& message) {
-                               if (const auto* renew = std::get_if<Renew>(&message))
+                           [this, &all](const Link::Ptr& link, WireMessage&& message) {
+                               if (const auto* renew = std::get_if<LeaseRenewal>(&message))
                                    all.on_renew(*this, link, *renew);
                            },
                            [](const Link::Ptr&) {});
@@ -139,23 +143,23 @@
         int asked_for_document = 0;
     };
 
-    static FleetConfig config_for(std::uint16_t port) {
-        FleetConfig config = EntryHostsLink::config_for(port);
+    static SiteConfig config_for(std::uint16_t port) {
+        SiteConfig config = EntryHostsLink::config_for(port);
         config.ip = "127.0.0.3";
         config.seeds = {"127.0.0.1:1", "127.0.0.2:1"};
         return config;
     }
-    void on_renew(Host& host, const Link::Ptr& link, const Renew& renew) {
+    void on_renew(Host& host, const Link::Ptr& link, const LeaseRenewal& renew) {
         host.asked_for_document += renew.want_delta ? 1 : 0;
         if (renew.want_delta && source == nullptr)
             source = &host;
         if (&host == source && held_up)
             return;
-        Vouch vouch;
-        vouch.node = host.node;
-        vouch.sequence = renew.sequence;
-        vouch.table = 7;
-        link->send(vouch);
+        LeaseAck lease_ack;
+        lease_ack.node = host.node;
+        lease_ack.sequence = renew.sequence;
+        lease_ack.table = 7;
+        link->send(lease_ack);
     }
     void run_for(Duration time) {
         for (const Time end = BootClock::now() + time; BootClock::now() < end;) {
--- a/tests/unit/groupplanner_test.cpp
+++ b/tests/unit/groupplanner_test.cpp
@@ -25,7 +25,7 @@
     Fleet fleet_{3, 8};
 };
 
-TEST(Planner, AHostThatIsOfNoUseIsGivenTheModelOfThoseThatLackOne) {
+TEST(GroupPlanner, AHostThatIsOfNoUseIsGivenTheModelOfThoseThatLackOne) {
     Fleet fleet(1, 8);
     fleet.planner.configure(engine());
     fleet.planner.take_over(1, fleet.now);
@@ -51,7 +51,7 @@
     EXPECT_TRUE(fleet.violations.empty());
 }
 
-TEST(Planner, AGroupAcrossDomainsEndsForOneWithinADomain) {
+TEST(GroupPlanner, AGroupAcrossDomainsEndsForOneWithinADomain) {
     Fleet fleet(2, 3);
     EngineCost large = engine();
     large.models = {{"big", 4, 1.0, 1.0, seconds(16), milliseconds(1600)}};
@@ -74,7 +74,7 @@
 }
 
 // The only group of a model loses its lead to planned work and finishes what it has, for seconds.
-TEST(Planner, AGroupThatClosesForItsLeavingLeadIsNotWaitedFor) {
+TEST(GroupPlanner, AGroupThatClosesForItsLeavingLeadIsNotWaitedFor) {
     Fleet fleet(3, 2);
     for (int i = 0; i < 2; ++i)
         fleet.add("d0");
@@ -171,7 +171,7 @@
     EXPECT_TRUE(fleet_.violations.empty());
 }
 
-TEST(Planner, HostsThatStartAgainUnderTheirNamesAreUsedAgain) {
+TEST(GroupPlanner, HostsThatStartAgainUnderTheirNamesAreUsedAgain) {
     for (const std::size_t lost : {std::size_t{1}, std::size_t{2}}) {
         Fleet fleet(1, 2);
         EngineCost pairs = engine();
@@ -251,7 +251,7 @@
     start();
     const std::size_t big = fleet_.open("big");
     const int before = fleet_.orders;
-    GroupPlanner successor("llm", PlannerBounds{}, false);
+    GroupPlanner successor("llm", GroupPlannerConfig{}, false);
     successor.configure(engine());
     for (const auto& [id, item] : fleet_.registry.items())
         successor.observe(item.report, fleet_.now);
@@ -263,9 +263,9 @@
     EXPECT_TRUE(fleet_.violations.empty());
 }
 
-TEST(Planner, AControlHostThatCameBackBoundsLoadsFromTheStart) {
+TEST(GroupPlanner, AControlHostThatCameBackBoundsLoadsFromTheStart) {
     Fleet fleet(3, 27);
-    fleet.planner = GroupPlanner("llm", PlannerBounds{}, false);
+    fleet.planner = GroupPlanner("llm", GroupPlannerConfig{}, false);
     fleet.planner.configure(engine());
     fleet.planner.take_over(4, fleet.now);
     std::vector<Time> loads;
@@ -280,9 +280,9 @@
     EXPECT_GT(loads.size(), 0u);
 }
 
-TEST(Planner, WhatOthersMayHaveBegunCountsThoughTheFiguresComeLater) {
+TEST(GroupPlanner, WhatOthersMayHaveBegunCountsThoughTheFiguresComeLater) {
     Fleet fleet(3, 27);
-    fleet.planner = GroupPlanner("llm", PlannerBounds{}, false);
+    fleet.planner = GroupPlanner("llm", GroupPlannerConfig{}, false);
     fleet.planner.take_over(4, fleet.now, {}, true);
     fleet.planner.configure(engine());
     fleet.run(milliseconds(4900));
@@ -292,7 +292,7 @@
 }
 
 // In the first life of the whole system nobody can have begun loads that count.
-TEST(Planner, TheFirstLayoutWaitsForNoBound) {
+TEST(GroupPlanner, TheFirstLayoutWaitsForNoBound) {
     Fleet fleet(3, 27);
     fleet.planner.configure(engine());
     fleet.planner.take_over(1, fleet.now, {}, true);
--- a/tests/unit/groupplayer.cpp
+++ b/tests/unit/groupsimulator.cpp
@@ -1,4 +1,4 @@
-#include "unit/groupplayer.h"
+#include "unit/groupsimulator.h"
 
 #include "process/groupname.h"
 #include "request/precedence.h"
@@ -25,29 +25,29 @@
 
 } // namespace
 
-EngineCost played_engine() {
+EngineCost simulated_engine() {
     EngineCost engine;
     engine.slots = 48;
     engine.step_ms = 6.45;
     engine.step_ms_per_sequence = 0.0967;
     engine.read_tokens_per_ms = 56.1;
     engine.chunk = 2048;
-    engine.stride = 5;
+    engine.steps_per_pass = 5;
     engine.models = {{.name = Model, .size = 1}};
     return engine;
 }
 
-GroupPlayer::GroupPlayer(EngineCost engine, int groups, int hosts, std::uint64_t seed)
+GroupSimulator::GroupSimulator(EngineCost engine, int groups, int hosts, std::uint64_t seed)
     : engine_(std::move(engine)), service_{"llm", 4000, engine_}, random_(seed) {
     for (int i = 0; i < hosts; ++i) {
         hosts_.emplace_back(seed + static_cast<std::uint64_t>(i));
-        hosts_.back().set_others(hosts);
+        hosts_.back().set_fleet_load_ratio(hosts);
     }
     for (int i = 0; i < groups; ++i)
         open_group(Start);
 }
 
-void GroupPlayer::open_group(Time now) {
+void GroupSimulator::open_group(Time now) {
     const Epoch epoch = next_epoch_++;
     EndpointReport lead;
     lead.id = "i-" + std::to_string(epoch);
@@ -62,7 +62,7 @@
 }
 
 // Another group serves for the lost one, which is known to have ended.
-void GroupPlayer::replace_group(Time now) {
+void GroupSimulator::replace_group(Time now) {
     const auto lost =
         std::find_if(groups_.begin(), groups_.end(), [](const Group& g) { return g.lost; });
     for (std::size_t host = 0; host < hosts_.size(); ++host) {
@@ -74,14 +74,14 @@
 }
 
 // Its streams stand still; nobody is told.
-void GroupPlayer::lose_group() {
+void GroupSimulator::lose_group() {
     const auto group =
         std::find_if(groups_.begin(), groups_.end(), [](const Group& g) { return !g.lost; });
     group->lost = true;
 }
 
 // Each entry host sees for itself that a group stands still, and takes its requests elsewhere.
-void GroupPlayer::leave_stalled(Time now) {
+void GroupSimulator::leave_stalled(Time now) {
     for (std::size_t host = 0; host < hosts_.size(); ++host)
         for (Group& group : groups_) {
             EndpointUse& use = hosts_[host].use(group.lead);
@@ -92,7 +92,7 @@
         }
 }
 
-void GroupPlayer::leave_group(Group& group, std::size_t host, Time now) {
+void GroupSimulator::leave_group(Group& group, std::size_t host, Time now) {
     for (auto request = group.requests.begin(); request != group.requests.end();) {
         if (request->host != host) {
             ++request;
@@ -111,15 +111,16 @@
 }
 
 // What hosts tell now reaches the others with the next telling.
-void GroupPlayer::tell_shares(Time now) {
+void GroupSimulator::tell_shares(Time now) {
     for (std::size_t host = 0; host < hosts_.size(); ++host)
-        hosts_[host].learn_others(board_.others_of(std::to_string(host)), board_.every(), now);
+        hosts_[host].set_load_of_others(board_.load_of_others(std::to_string(host)), board_.every(),
+                                        now);
     for (std::size_t host = 0; host < hosts_.size(); ++host)
-        board_.tell(std::to_string(host), hosts_[host].own_shares(), now);
+        board_.tell(std::to_string(host), hosts_[host].own_load(), now);
 }
 
-void GroupPlayer::ask(std::size_t number, Time now) {
-    const PlayedKind& kind = kinds_[number];
+void GroupSimulator::ask(std::size_t number, Time now) {
+    const SimulatedRequestKind& kind = kinds_[number];
     ++results_[number].asked;
     Request request;
     request.kind = number;
@@ -133,7 +134,7 @@
         refuse(request, now);
 }
 
-void GroupPlayer::refuse(Request request, Time now) {
+void GroupSimulator::refuse(Request request, Time now) {
     if (std::exchange(request.returned, true)) {
         ++results_[request.kind].refused;
         return;
@@ -142,7 +143,7 @@
     returning_.push_back(request);
 }
 
-void GroupPlayer::take_returning(Time now) {
+void GroupSimulator::take_returning(Time now) {
     while (!returning_.empty() && returning_.front().returns <= now) {
         Request request = returning_.front();
         returning_.pop_front();
@@ -153,8 +154,8 @@
 }
 
 // Fails where no group takes the request now.
-bool GroupPlayer::send(Request request, Time now) {
-    request.demand.yields = lets_others_go_first(
+bool GroupSimulator::send(Request request, Time now) {
+    request.demand.low_priority = is_bound_to_be_late(
         {request.begun, now - request.asked, now - request.last, goal_, pause_goal_});
     Demand demand;
     demand.service = &service_;
@@ -176,7 +177,7 @@
     return true;
 }
 
-void GroupPlayer::resume_waiting(Time now) {
+void GroupSimulator::resume_waiting(Time now) {
     for (auto request = waiting_.begin(); request != waiting_.end();) {
         const bool gone = now - request->last > CallerPatience;
         if (!gone && !send(*request, now)) {
@@ -189,10 +190,10 @@
 }
 
 // Reads what waits, as far as one pass goes, and returns how long the pass takes.
-double GroupPlayer::start_pass(Group& group) {
+double GroupSimulator::start_pass(Group& group) {
     const ModelShape& shape = engine_.models.front();
     double writers = 0;
-    std::uint32_t room = engine_.chunk * engine_.stride;
+    std::uint32_t room = engine_.chunk * engine_.steps_per_pass;
     std::uint32_t read = 0;
     std::uint32_t places = engine_.slots;
     for (Request& request : group.requests) {
@@ -205,11 +206,11 @@
         read += part;
     }
     return shape.pace *
-           (engine_.stride * (engine_.step_ms + engine_.step_ms_per_sequence * writers) +
+           (engine_.steps_per_pass * (engine_.step_ms + engine_.step_ms_per_sequence * writers) +
             read / engine_.read_tokens_per_ms);
 }
 
-void GroupPlayer::end_pass(Group& group, Time now) {
+void GroupSimulator::end_pass(Group& group, Time now) {
     std::uint32_t places = engine_.slots;
     for (auto request = group.requests.begin(); request != group.requests.end() && places-- > 0;) {
         if (request->unread > 0) {
@@ -218,36 +219,38 @@
         }
         request->late = request->late || (request->begun ? now - request->last > pause_goal_
                                                          : now - request->asked > goal_);
-        hosts_[request->host].use(group.lead).moved(request->demand, !request->writing, now);
+        hosts_[request->host].use(group.lead).on_event(request->demand, !request->writing, now);
         request->begun = request->writing = true;
         request->last = now;
         if (--request->events_left > 0) {
             ++request;
             continue;
         }
-        PlayedResult& result = results_[request->kind];
+        SimulatedResult& result = results_[request->kind];
         ++(request->late ? result.late : result.in_time);
         finish(group, *request);
         request = group.requests.erase(request);
     }
 }
 
-void GroupPlayer::finish(const Group& group, const Request& request) {
+void GroupSimulator::finish(const Group& group, const Request& request) {
     EndpointUse& use = hosts_[request.host].use(group.lead);
     --use.in_flight;
     use.ended(request.demand, request.writing);
 }
 
-void GroupPlayer::step(Group& group, Time now) {
+void GroupSimulator::step(Group& group, Time now) {
     if (group.lost || now < group.pass_ends)
         return;
     end_pass(group, now);
     group.pass_ends = group.requests.empty() ? now : now + millis(start_pass(group));
 }
 
-std::vector<PlayedResult> GroupPlayer::play(const std::vector<PlayedKind>& kinds, Duration goal,
-                                            Duration pause_goal, Duration length,
-                                            const std::vector<Duration>& losses, Duration repair) {
+std::vector<SimulatedResult> GroupSimulator::play(const std::vector<SimulatedRequestKind>& kinds,
+                                                  Duration goal, Duration pause_goal,
+                                                  Duration length,
+                                                  const std::vector<Duration>& losses,
+                                                  Duration repair) {
     kinds_ = kinds;
     results_.assign(kinds.size(), {});
     goal_ = goal;
@@ -263,7 +266,7 @@
             leave_stalled(now);
             resume_waiting(now);
         }
-        if (tells_of_others_ && at % SharesEvery == Duration::zero())
+        if (tells_of_others_ && at % LoadReportInterval == Duration::zero())
             tell_shares(now);
         take_returning(now);
         for (std::size_t i = 0; i < kinds_.size(); ++i)
--- a/tests/unit/groupplayer.h
+++ b/tests/unit/groupsimulator.h
@@ -1,8 +1,8 @@
-#ifndef GROUPPLAYER_H_INCLUDED
-#define GROUPPLAYER_H_INCLUDED
+#ifndef GROUPSIMULATOR_H_INCLUDED
+#define GROUPSIMULATOR_H_INCLUDED
 
 #include "request/directory.h"
-#include "request/workboard.h"
+#include "request/entryloadtable.h"
 
 #include <algorithm>
 #include <list>
@@ -13,17 +13,17 @@
 
 // The figures of a large engine: a pass takes 40 ms with 15 writers and up to 230 ms while it
 // reads.
-EngineCost played_engine();
+EngineCost simulated_engine();
 
 // A kind of request of the played load.
-struct PlayedKind {
+struct SimulatedRequestKind {
     double per_second = 0;
     std::uint32_t prompt_tokens = 0;
     std::uint32_t events = 1;
 };
 
 // What the callers of one kind got.
-struct PlayedResult {
+struct SimulatedResult {
     int asked = 0;
     int in_time = 0; // first event within its goal, and no pause beyond its goal
     int late = 0;
@@ -37,17 +37,17 @@
 // hosts are real directories, which choose a group, refuse, or notice that one stands still, each
 // knowing only its own part. A caller that is refused returns once. What a lost group had goes on
 // elsewhere, as soon as a group takes it, if its caller has not left by then.
-class GroupPlayer {
+class GroupSimulator {
   public:
-    GroupPlayer(EngineCost engine, int groups, int hosts, std::uint64_t seed);
+    GroupSimulator(EngineCost engine, int groups, int hosts, std::uint64_t seed);
 
     // Entry hosts are told what the others have under way, as control does it.
-    void tell_of_others() { tells_of_others_ = true; }
+    void exchange_shares() { tells_of_others_ = true; }
 
     // Plays so long; a group is lost at each of the times, and another one serves `repair` later.
-    std::vector<PlayedResult> play(const std::vector<PlayedKind>& kinds, Duration goal,
-                                   Duration pause_goal, Duration length,
-                                   const std::vector<Duration>& losses, Duration repair);
+    std::vector<SimulatedResult> play(const std::vector<SimulatedRequestKind>& kinds, Duration goal,
+                                      Duration pause_goal, Duration length,
+                                      const std::vector<Duration>& losses, Duration repair);
 
   private:
     struct Request {
@@ -96,14 +96,14 @@
     std::list<Request> returning_; // refused once
     std::minstd_rand random_;
     bool tells_of_others_ = false;
-    WorkBoard board_;
+    EntryLoadTable board_;
     Duration goal_{};
     Duration pause_goal_{};
-    std::vector<PlayedKind> kinds_;
-    std::vector<PlayedResult> results_; // by kind
+    std::vector<SimulatedRequestKind> kinds_;
+    std::vector<SimulatedResult> results_; // by kind
     Epoch next_epoch_ = 1;
 };
 
 } // namespace liftweir
 
-#endif // GROUPPLAYER_H_INCLUDED
+#endif // GROUPSIMULATOR_H_INCLUDED
--- a/tests/unit/heldback_test.cpp
+++ b/tests/unit/heldback_test.cpp
@@ -2,7 +2,7 @@
 
 #include "process/groupname.h"
 #include "request/directory.h"
-#include "unit/groupplayer.h"
+#include "unit/groupsimulator.h"
 
 #include <gtest/gtest.h>
 
@@ -30,7 +30,7 @@
 struct HeldBack : testing::TestWithParam<bool> {
     HeldBack() {
         if (GetParam())
-            service.engine = played_engine();
+            service.engine = simulated_engine();
         demand.service = &service;
         demand.model = GetParam() ? "model" : "";
         for (const EndpointReport& report : {first, second})
@@ -52,10 +52,10 @@
 INSTANTIATE_TEST_SUITE_P(PlainEndpointsAndLeads, HeldBack, testing::Bool());
 
 TEST_P(HeldBack, AnEndpointThatRestsIsLeftOutThoughItIsTheOnlyOne) {
-    directory.let_rest(first.id, seconds(3), Start);
+    directory.back_off(first.id, seconds(3), Start);
     for (int n = 0; n < 20; ++n)
         EXPECT_EQ(directory.pick(demand, {}, Start)->endpoint, second.id);
-    directory.let_rest(second.id, seconds(2), Start);
+    directory.back_off(second.id, seconds(2), Start);
     const NoPick all = none();
     EXPECT_EQ(all.why, PickFailure::AllHeldBack);
     EXPECT_EQ(all.soonest, second.id);
@@ -64,14 +64,14 @@
 }
 
 TEST_P(HeldBack, ALaterShorterRestDoesNotEndALongerOne) {
-    directory.let_rest(first.id, seconds(3), Start);
-    directory.let_rest(first.id, seconds(1), Start + milliseconds(100));
+    directory.back_off(first.id, seconds(3), Start);
+    directory.back_off(first.id, seconds(1), Start + milliseconds(100));
     EXPECT_EQ(none({second.id}, Start + seconds(2)).wait, seconds(1));
 }
 
 TEST_P(HeldBack, CallersOfRestingEndpointsReturnAfterTheRestAndNotTogether) {
-    directory.let_rest(first.id, seconds(3), Start);
-    directory.let_rest(second.id, seconds(3), Start);
+    directory.back_off(first.id, seconds(3), Start);
+    directory.back_off(second.id, seconds(3), Start);
     std::set<Duration> returns;
     for (int n = 0; n < 50; ++n)
         returns.insert(directory.return_after(none(), Start));
@@ -80,12 +80,12 @@
 }
 
 TEST_P(HeldBack, AnEndpointThatWasTriedTellsWhenItMayBeAskedAgain) {
-    directory.let_rest(first.id, seconds(3), Start);
+    directory.back_off(first.id, seconds(3), Start);
     EXPECT_EQ(none({first.id, second.id}).wait, seconds(3));
 }
 
 TEST_P(HeldBack, ARestIsOfOneStart) {
-    directory.let_rest(first.id, seconds(3), Start);
+    directory.back_off(first.id, seconds(3), Start);
     EndpointReport again = first;
     again.id.started_ms = 8;
     again.membership.epoch = again.membership.epoch == NoEpoch ? NoEpoch : 9;
@@ -94,7 +94,7 @@
 }
 
 TEST_P(HeldBack, ARestOutlastsThatTheEndpointIsForgottenForAWhile) {
-    directory.let_rest(first.id, seconds(3), Start);
+    directory.back_off(first.id, seconds(3), Start);
     directory.registry().forget(first.id);
     directory.expire(Start + milliseconds(100));
     directory.registry().merge(first, Start + milliseconds(200));
@@ -102,7 +102,7 @@
 }
 
 TEST_P(HeldBack, AnEndpointAtItsLimitIsLeftOut) {
-    directory.limits().book().heard(first.id, 2, Start);
+    directory.limits().book().add_report(first.id, 2, Start);
     EXPECT_EQ(directory.pick(demand, {}, Start)->endpoint, second.id);
     EXPECT_EQ(none({second.id}).why, PickFailure::AllHeldBack);
 }
@@ -122,14 +122,14 @@
 }
 
 TEST(HeldBackLeads, ALeadThatFailedLatelyMayServeBeforeTheRestOfAnother) {
-    Service service{"app", 100, played_engine()};
+    Service service{"app", 100, simulated_engine()};
     Demand demand;
     demand.service = &service;
     demand.model = "model";
     Directory directory(7);
     for (const int number : {0, 1})
         directory.registry().merge(report_of(number, true), Start);
-    directory.let_rest(report_of(0, true).id, seconds(3), Start);
+    directory.back_off(report_of(0, true).id, seconds(3), Start);
     directory.failed(report_of(1, true).id, Start);
     const auto pick = directory.pick(demand, {}, Start);
     ASSERT_FALSE(pick);
--- a/tests/unit/http_test.cpp
+++ b/tests/unit/http_test.cpp
@@ -142,7 +142,7 @@
     std::shared_ptr<HttpExchange> held;
     const auto server = serve_http(io, address, {}, [&](const std::shared_ptr<HttpExchange>& e) {
         held = e;
-        e->on_gone([&] { gone = true; });
+        e->on_disconnect([&] { gone = true; });
     });
     asio::ip::tcp::socket caller(io);
     caller.connect(parse_address(address).value());
@@ -168,14 +168,15 @@
     const ClusterKeys wrong({"key-of-a-stranger"});
     LinkListener listener(io, address, server, keys);
     std::vector<std::string> heard;
-    listener.start([](const Link::Ptr&) {},
-                   [&](const Link::Ptr& link, Wire&&) { heard.push_back(link->peer().name); },
-                   [](const Link::Ptr&) {});
+    listener.start(
+        [](const Link::Ptr&) {},
+        [&](const Link::Ptr& link, WireMessage&&) { heard.push_back(link->peer().name); },
+        [](const Link::Ptr&) {});
     Dialer good(io, address, dialer, rotated);
     const Identity stranger_identity{ProcessRole::Agent, "stranger", 3};
     Dialer stranger(io, address, stranger_identity, wrong);
     bool stranger_up = false;
-    const auto ignore = [](const Link::Ptr&, Wire&&) {};
+    const auto ignore = [](const Link::Ptr&, WireMessage&&) {};
     good.start([](const Link::Ptr& link) { link->send(NotLeaderReply{1}); }, ignore,
                [](const Link::Ptr&) {});
     stranger.start([&](const Link::Ptr&) { stranger_up = true; }, ignore, [](const Link::Ptr&) {});
--- a/tests/unit/httpchannel_test.cpp
+++ b/tests/unit/httpchannel_test.cpp
@@ -97,8 +97,8 @@
 // An endpoint takes a bounded number of connections from all entry hosts, resting ones too.
 TEST_F(ChannelTest, KeepsNoMoreConnectionsThanItMay) {
     scripts_ = {{Good}, {Good}};
-    EXPECT_EQ(call({.most_kept = 0}).end, CallEnd::Complete);
-    EXPECT_EQ(call({.most_kept = 0}).end, CallEnd::Complete);
+    EXPECT_EQ(call({.max_idle_connections = 0}).end, CallEnd::Complete);
+    EXPECT_EQ(call({.max_idle_connections = 0}).end, CallEnd::Complete);
     EXPECT_EQ(accepted_, 2);
 }
 
--- a/tests/unit/httpserver_test.cpp
+++ b/tests/unit/httpserver_test.cpp
@@ -11,7 +11,7 @@
 
 class ServerTest : public testing::Test {
   protected:
-    void serve(HttpServerLimits limits = {}, AddressUse use = AddressUse::Alone) {
+    void serve(HttpServerLimits limits = {}, AddressUse use = AddressUse::Exclusive) {
         {
             const asio::ip::tcp::acceptor probe(io_, {asio::ip::make_address("127.0.0.1"), 0});
             address_ = "127.0.0.1:" + std::to_string(probe.local_endpoint().port());
@@ -230,7 +230,7 @@
     slow.send(PlainRequest);
     io_.run_for(std::chrono::milliseconds(100));
     EXPECT_EQ(server_->busy(), 1u);
-    server_->close_resting();
+    server_->close_idle();
     EXPECT_GT(slow.read().size(), 8u << 20);
     fresh.send(PlainRequest);
     EXPECT_GT(fresh.read().size(), 8u << 20);
@@ -243,7 +243,7 @@
     io_.run_for(std::chrono::milliseconds(50));
     EXPECT_EQ(server_->connections(), 1u);
     EXPECT_EQ(server_->busy(), 0u);
-    server_->close_resting();
+    server_->close_idle();
     io_.restart();
     io_.run_for(std::chrono::milliseconds(20));
     EXPECT_EQ(server_->connections(), 0u);
@@ -255,7 +255,7 @@
     half.send(PlainRequest.substr(0, PlainRequest.size() - 1));
     io_.run_for(std::chrono::milliseconds(50));
     EXPECT_EQ(server_->busy(), 1u);
-    server_->close_resting();
+    server_->close_idle();
     half.send("a");
     EXPECT_TRUE(half.read().starts_with("HTTP/1.1 200 "));
 }
@@ -270,7 +270,7 @@
         serve();
         handler_ = [this](const std::shared_ptr<HttpExchange>& e) {
             kept_.push_back(e);
-            e->on_gone([this] { ++gone_; });
+            e->on_disconnect([this] { ++gone_; });
         };
     }
     void run(std::chrono::milliseconds time) {
--- a/tests/unit/leaderchange_test.cpp
+++ b/tests/unit/leaderchange_test.cpp
@@ -2,7 +2,7 @@
 // turn; endpoints that start again under their names; words and orders that come late. Harder cases
 // of takeover_test, with the product's own log, order queue and step from one leader to the next.
 
-#include "process/groupleader.h"
+#include "process/groupcontroller.h"
 #include "process/groupname.h"
 #include "unit/memstorage.h"
 
@@ -65,7 +65,7 @@
 struct ControlHost {
     MemStorage disk;
     std::unique_ptr<Replica> replica; // null while it is down
-    std::unique_ptr<GroupLeader> groups;
+    std::unique_ptr<GroupController> groups;
     Registry registry;
     int life = 0;
     bool cut = false;
@@ -198,7 +198,7 @@
         auto opened = Replica::open(host.disk, node, {1, 2, 3}, tuning, random_(), now_);
         ASSERT_TRUE(opened);
         host.replica = std::move(*opened);
-        host.groups = std::make_unique<GroupLeader>(PlannerBounds{}, host.life == 0);
+        host.groups = std::make_unique<GroupController>(GroupPlannerConfig{}, host.life == 0);
         host.registry = Registry();
         host.groups->configure(Service, pairs_of_one_model(), host.replica->state(), host.registry,
                                now_);
@@ -222,7 +222,7 @@
         pump(node);
         if (host.replica->ready() && host.groups->plan(*host.replica, host.registry, now_))
             pump(node);
-        for (const GroupLeader::Probe& probe : host.groups->take_probes())
+        for (const GroupController::Probe& probe : host.groups->take_probes())
             host.groups->probed(probe, true, now_);
         (void)host.groups->take_events();
         send_orders(node);
@@ -299,7 +299,7 @@
                 ControlHost& host = at(node);
                 if (host.registry.merge(report, now_))
                     host.groups->observe(host.registry.find(report.id)->report, now_);
-                (void)host.registry.take_settled();
+                (void)host.registry.take_resolved();
             });
     }
 
--- a/tests/unit/leveling_test.cpp
+++ b/tests/unit/leveling_test.cpp
@@ -1,7 +1,7 @@
 // What entry hosts tell each other of their work, and the choice by figures that are old.
 
+#include "request/entryloadtable.h"
 #include "request/leveling.h"
-#include "request/workboard.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -18,10 +18,10 @@
 
 constexpr Time Start = Time{} + seconds(100);
 
-GroupLoad reading(std::uint32_t requests) {
+GroupLoad prefilling(std::uint32_t requests) {
     GroupLoad load;
-    load.reading = requests;
-    load.reading_tokens = 1000u * requests;
+    load.prefilling = requests;
+    load.prefill_tokens = 1000u * requests;
     return load;
 }
 
@@ -69,56 +69,57 @@
 
 // ---- what control tells
 
-TEST(WorkBoard, TellsEachHostOfTheOthers) {
-    WorkBoard board;
-    board.tell("a", {{7, reading(1)}, {8, reading(2)}}, Start);
-    board.tell("b", {{8, reading(3)}}, Start);
-    EXPECT_EQ(board.others_of("a"), (std::vector<GroupShare>{{8, reading(3)}}));
-    EXPECT_EQ(board.others_of("b"), (std::vector<GroupShare>{{7, reading(1)}, {8, reading(2)}}));
+TEST(EntryLoadTable, TellsEachHostOfTheOthers) {
+    EntryLoadTable board;
+    board.tell("a", {{7, prefilling(1)}, {8, prefilling(2)}}, Start);
+    board.tell("b", {{8, prefilling(3)}}, Start);
+    EXPECT_EQ(board.load_of_others("a"), (std::vector<GroupLoadReport>{{8, prefilling(3)}}));
+    EXPECT_EQ(board.load_of_others("b"),
+              (std::vector<GroupLoadReport>{{7, prefilling(1)}, {8, prefilling(2)}}));
     board.tell("a", {}, Start);
-    EXPECT_TRUE(board.others_of("b").empty());
-    EXPECT_EQ(board.others_of("c"), (std::vector<GroupShare>{{8, reading(3)}}));
+    EXPECT_TRUE(board.load_of_others("b").empty());
+    EXPECT_EQ(board.load_of_others("c"), (std::vector<GroupLoadReport>{{8, prefilling(3)}}));
 }
 
-TEST(WorkBoard, ForgetsWhoTellsNothingMore) {
-    WorkBoard board;
-    board.tell("a", {{7, reading(1)}}, Start);
-    board.tell("b", {{7, reading(2)}}, Start + seconds(2));
+TEST(EntryLoadTable, ForgetsWhoTellsNothingMore) {
+    EntryLoadTable board;
+    board.tell("a", {{7, prefilling(1)}}, Start);
+    board.tell("b", {{7, prefilling(2)}}, Start + seconds(2));
     board.expire(Start + seconds(2));
-    EXPECT_EQ(board.others_of("c"), (std::vector<GroupShare>{{7, reading(2)}}));
+    EXPECT_EQ(board.load_of_others("c"), (std::vector<GroupLoadReport>{{7, prefilling(2)}}));
     board.expire(Start + seconds(9));
     EXPECT_TRUE(board.empty());
 }
 
-RC_GTEST_PROP(WorkBoard, KeepsTheSumsOfAFreshCount, ()) {
-    WorkBoard board;
-    std::map<std::string, std::vector<GroupShare>> told;
+RC_GTEST_PROP(EntryLoadTable, KeepsTheSumsOfAFreshCount, ()) {
+    EntryLoadTable board;
+    std::map<std::string, std::vector<GroupLoadReport>> told;
     for (int n = *rc::gen::inRange(1, 30); n > 0; --n) {
         const std::string entry = *rc::gen::element<std::string>("a", "b", "c");
-        std::vector<GroupShare> shares;
+        std::vector<GroupLoadReport> shares;
         for (Epoch epoch = 1; epoch < 5; ++epoch)
             if (*rc::gen::arbitrary<bool>())
-                shares.push_back({epoch, reading(*rc::gen::inRange(1u, 9u))});
+                shares.push_back({epoch, prefilling(*rc::gen::inRange(1u, 9u))});
         told[entry] = shares;
         board.tell(entry, shares, Start);
     }
     std::map<Epoch, GroupLoad> sums;
     for (const auto& [entry, shares] : told)
-        for (const GroupShare& share : shares)
+        for (const GroupLoadReport& share : shares)
             sums[share.epoch].add(share.load);
-    const auto all = board.others_of("nobody");
+    const auto all = board.load_of_others("nobody");
     RC_ASSERT(all.size() == sums.size());
-    for (const GroupShare& share : all)
+    for (const GroupLoadReport& share : all)
         RC_ASSERT(share.load == sums.at(share.epoch));
 }
 
-TEST(WorkBoard, CostsAnEntryHostABoundedNumberOfBytes) {
-    WorkBoard board;
-    std::vector<GroupShare> shares;
+TEST(EntryLoadTable, CostsAnEntryHostABoundedNumberOfBytes) {
+    EntryLoadTable board;
+    std::vector<GroupLoadReport> shares;
     for (Epoch epoch = 1; epoch <= 1000; ++epoch)
-        shares.push_back({epoch, reading(1)});
+        shares.push_back({epoch, prefilling(1)});
     board.tell("a", {shares.begin(), shares.begin() + 30}, Start);
-    EXPECT_EQ(board.every(), SharesEvery);
+    EXPECT_EQ(board.every(), LoadReportInterval);
     board.tell("a", shares, Start);
     EXPECT_GE(board.every(), seconds(2));
 }
--- a/tests/unit/link_test.cpp
+++ b/tests/unit/link_test.cpp
@@ -37,7 +37,7 @@
         }
         acceptor_.close();
         listener_ = std::make_unique<LinkListener>(io_, address_, self, keys);
-        listener_->start([](const Link::Ptr&) {}, [](const Link::Ptr&, Wire&&) {},
+        listener_->start([](const Link::Ptr&) {}, [](const Link::Ptr&, WireMessage&&) {},
                          [](const Link::Ptr&) {});
     }
 
@@ -75,7 +75,7 @@
     }
 
     void dial_in_the_dark(Duration since) {
-        dialer.start([](const Link::Ptr&) {}, [](const Link::Ptr&, Wire&&) {},
+        dialer.start([](const Link::Ptr&) {}, [](const Link::Ptr&, WireMessage&&) {},
                      [](const Link::Ptr&) {});
         EXPECT_FALSE(up_within(since));
         host.power_up(peer, keys);
@@ -90,14 +90,14 @@
 
 TEST_F(LinkToDarkHost, IsDialedAtOnceWhenThePeerWasHeard) {
     dial_in_the_dark(milliseconds(150));
-    dialer.hurry();
+    dialer.retry_now();
     EXPECT_TRUE(up_within(milliseconds(100)));
 }
 
 // A greeting may come while the answer to the connect is on its way.
 TEST_F(LinkToDarkHost, AYoungAttemptIsLeftToItself) {
     dial_in_the_dark(milliseconds(20));
-    dialer.hurry();
+    dialer.retry_now();
     EXPECT_FALSE(up_within(milliseconds(50)));
     EXPECT_TRUE(up_within(milliseconds(700)));
 }
--- a/tests/unit/overload_test.cpp
+++ b/tests/unit/overload_test.cpp
@@ -1,6 +1,6 @@
 // Loads that are too much for the groups that are left, played in virtual time.
 
-#include "unit/groupplayer.h"
+#include "unit/groupsimulator.h"
 
 #include <gtest/gtest.h>
 
@@ -12,13 +12,14 @@
 
 // Five entry hosts before two groups, one of which is lost every 4.5 s and replaced after 0.9 s,
 // for 30 s with each of the seeds.
-std::vector<PlayedResult> play_losses(const std::vector<PlayedKind>& kinds, std::uint64_t seeds) {
+std::vector<SimulatedResult> play_losses(const std::vector<SimulatedRequestKind>& kinds,
+                                         std::uint64_t seeds) {
     std::vector<Duration> losses;
     for (int i = 1; i <= 6; ++i)
         losses.push_back(i * milliseconds(4500));
-    std::vector<PlayedResult> sum(kinds.size());
+    std::vector<SimulatedResult> sum(kinds.size());
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        GroupPlayer player(played_engine(), 2, 5, seed);
+        GroupSimulator player(simulated_engine(), 2, 5, seed);
         const auto one = player.play(kinds, milliseconds(400), milliseconds(300), seconds(30),
                                      losses, milliseconds(900));
         for (std::size_t i = 0; i < kinds.size(); ++i) {
@@ -52,10 +53,10 @@
     std::vector<Duration> losses;
     for (int i = 1; i <= 12; ++i)
         losses.push_back(i * milliseconds(1500));
-    std::vector<PlayedResult> sum(2);
+    std::vector<SimulatedResult> sum(2);
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-        GroupPlayer player(played_engine(), 10, 50, seed);
-        player.tell_of_others();
+        GroupSimulator player(simulated_engine(), 10, 50, seed);
+        player.exchange_shares();
         const auto one = player.play({{80, 1460, 19}, {40, 2000, 5}}, milliseconds(500),
                                      milliseconds(400), seconds(20), losses, milliseconds(900));
         for (std::size_t i = 0; i < sum.size(); ++i) {
--- a/tests/unit/placement_test.cpp
+++ b/tests/unit/placement_test.cpp
@@ -69,7 +69,7 @@
     }
 
     State state;
-    Planner planner;
+    PlacementPlanner planner;
     Time now{seconds(100)};
     int formed = 0;
     std::size_t most_loading = 0;
--- a/tests/unit/plannerfleet.h
+++ b/tests/unit/plannerfleet.h
@@ -129,7 +129,7 @@
     }
 
     Time now{std::chrono::seconds(100)};
-    GroupPlanner planner{"llm", PlannerBounds{}, true};
+    GroupPlanner planner{"llm", GroupPlannerConfig{}, true};
     Registry registry;
     std::map<EndpointId, Endpoint> endpoints;
     std::vector<std::string> violations;
@@ -159,11 +159,11 @@
 
     // Each address answers for the start that it has.
     void settle_doubts() {
-        for (const Registry::Question& question : registry.take_questions(now))
+        for (const Registry::AddressCheck& question : registry.take_address_checks(now))
             if (const auto at = endpoints.find(question.endpoint.id);
                 at != endpoints.end() && !at->second.dark)
                 registry.confirmed(question, now);
-        for (const EndpointId& id : registry.take_settled())
+        for (const EndpointId& id : registry.take_resolved())
             planner.observe(registry.find(id)->report, now);
     }
 
--- a/tests/unit/plannerrounds_test.cpp
+++ b/tests/unit/plannerrounds_test.cpp
@@ -97,7 +97,7 @@
     }
 
     Time now_{seconds(100)};
-    GroupPlanner planner_{"llm", PlannerBounds{}, true};
+    GroupPlanner planner_{"llm", GroupPlannerConfig{}, true};
     Registry registry_;
     std::map<EndpointId, EndpointReport> reports_;
     std::size_t orders_ = 0;
--- a/tests/unit/platform_test.cpp
+++ b/tests/unit/platform_test.cpp
@@ -152,7 +152,7 @@
     std::string header(std::string_view name) const override {
         return std::string(find_header(headers_, name));
     }
-    bool on_kept_connection() const override { return false; }
+    bool on_reused_connection() const override { return false; }
     Time received() const override { return {}; }
     void respond(int, const HttpHeaders&, std::string) override {}
     void begin(int, const HttpHeaders&) override {}
@@ -160,7 +160,7 @@
     void finish() override {}
     void abort() override {}
     std::optional<Time> left() const override { return {}; }
-    void on_gone(std::function<void()>) override {}
+    void on_disconnect(std::function<void()>) override {}
 
     std::string target_ = "/a/b";
     HttpHeaders headers_{{"Host", "h.example"},
@@ -183,7 +183,7 @@
     const CallerRequest request = protocol.read(exchange);
     EXPECT_EQ(request.key, "k1");
     EXPECT_EQ(request.prompt_tokens, 1460u);
-    EXPECT_EQ(request.patience, milliseconds(8000));
+    EXPECT_EQ(request.time_limit, milliseconds(8000));
     const HttpRequestHead head = protocol.forward(exchange, {"i-1", "t", milliseconds(7500), "12"});
     EXPECT_EQ(find_header(head.headers, "Target-Instance"), "i-1");
     EXPECT_EQ(find_header(head.headers, "Tenant-Id"), "t");
@@ -193,8 +193,9 @@
     EXPECT_EQ(find_header(head.headers, "X-Own"), "2");
     EXPECT_TRUE(find_header(head.headers, "Authorization").empty());
     EXPECT_TRUE(find_header(head.headers, "X-Hop").empty());
-    const auto times = std::count_if(head.headers.begin(), head.headers.end(),
-                                     [](const auto& h) { return same_name(h.first, "Tenant-Id"); });
+    const auto times = std::count_if(head.headers.begin(), head.headers.end(), [](const auto& h) {
+        return equals_ignoring_case(h.first, "Tenant-Id");
+    });
     EXPECT_EQ(times, 1);
 }
 
@@ -202,15 +203,17 @@
     const ClientProtocol protocol;
     CallerRequest request;
     request.id = "r1";
-    EXPECT_FALSE(protocol.judge({503, {}}, request).not_run);
-    EXPECT_TRUE(protocol.judge({503, {{"Not-Executed", "1"}}}, request).not_run);
-    EXPECT_TRUE(protocol.judge({421, {}}, request).not_run);
-    EXPECT_TRUE(protocol.judge({200, {{"Request-Id", "r2"}}}, request).other_request);
-    EXPECT_FALSE(protocol.judge({200, {{"Request-Id", "r1"}}}, request).other_request);
+    EXPECT_FALSE(protocol.parse_response({503, {}}, request).not_run);
+    EXPECT_TRUE(protocol.parse_response({503, {{"Not-Executed", "1"}}}, request).not_run);
+    EXPECT_TRUE(protocol.parse_response({421, {}}, request).not_run);
+    EXPECT_TRUE(
+        protocol.parse_response({200, {{"Request-Id", "r2"}}}, request).request_id_mismatch);
+    EXPECT_FALSE(
+        protocol.parse_response({200, {{"Request-Id", "r1"}}}, request).request_id_mismatch);
 }
 
-AnswerNote note_of(HttpHeaders headers) {
-    return ClientProtocol().judge({200, std::move(headers)}, {});
+ResponseSignals note_of(HttpHeaders headers) {
+    return ClientProtocol().parse_response({200, std::move(headers)}, {});
 }
 
 TEST(ClientProtocol, ReadsTheLimitThatAnEndpointNames) {
@@ -226,23 +229,23 @@
         EXPECT_EQ(note_of({{"Server-Limit", text}}).limit_fault, NumberFault::Unreadable) << text;
     for (const char* text : {"0", "0.0", "1000001", "99999999999999999999999999"})
         EXPECT_EQ(note_of({{"Server-Limit", text}}).limit_fault, NumberFault::OutOfRange) << text;
-    const AnswerNote twice = note_of({{"Server-Limit", "3"}, {"Server-Limit", "4"}});
+    const ResponseSignals twice = note_of({{"Server-Limit", "3"}, {"Server-Limit", "4"}});
     EXPECT_EQ(twice.limit_fault, NumberFault::Repeated);
     EXPECT_EQ(twice.limit_per_second, 0);
 }
 
 TEST(ClientProtocol, ReadsTheRestThatAnEndpointAsksFor) {
     const auto judged = [](int status, const char* text) {
-        return ClientProtocol().judge({status, {{"Retry-After", text}}}, {});
+        return ClientProtocol().parse_response({status, {{"Retry-After", text}}}, {});
     };
-    EXPECT_EQ(judged(503, "3").rest, std::chrono::seconds(3));
-    EXPECT_EQ(judged(503, "2.5").rest, milliseconds(2500));
-    EXPECT_EQ(judged(200, "3").rest, Duration::zero());
+    EXPECT_EQ(judged(503, "3").backoff, std::chrono::seconds(3));
+    EXPECT_EQ(judged(503, "2.5").backoff, milliseconds(2500));
+    EXPECT_EQ(judged(200, "3").backoff, Duration::zero());
     for (const char* text : {"-3", "nan", "", "soon", "Wed, 21 Oct 2026 07:28:00 GMT"})
-        EXPECT_EQ(judged(503, text).rest_fault, NumberFault::Unreadable) << text;
-    EXPECT_EQ(judged(503, "1e9").rest_fault, NumberFault::Unreadable);
-    EXPECT_EQ(judged(503, "1000000000").rest_fault, NumberFault::OutOfRange);
-    EXPECT_EQ(judged(503, "1000000000").rest, Duration::zero());
+        EXPECT_EQ(judged(503, text).backoff_fault, NumberFault::Unreadable) << text;
+    EXPECT_EQ(judged(503, "1e9").backoff_fault, NumberFault::Unreadable);
+    EXPECT_EQ(judged(503, "1000000000").backoff_fault, NumberFault::OutOfRange);
+    EXPECT_EQ(judged(503, "1000000000").backoff, Duration::zero());
 }
 
 TEST(ClientProtocol, ReadsThatAnEndpointLeaves) {
--- a/tests/unit/precedence_test.cpp
+++ b/tests/unit/precedence_test.cpp
@@ -13,28 +13,28 @@
 
 TEST(Precedence, WhoeverWaitedForHalfOfTheGoalLetsOthersGoFirst) {
     CallProgress call = Request;
-    EXPECT_TRUE(lets_others_go_first(call));
+    EXPECT_TRUE(is_bound_to_be_late(call));
     call.waited = milliseconds(150);
-    EXPECT_FALSE(lets_others_go_first(call));
+    EXPECT_FALSE(is_bound_to_be_late(call));
 }
 
 TEST(Precedence, AStreamThatStoodStillForItsPauseGoalLetsOthersGoFirst) {
     CallProgress call = Request;
     call.begun = true;
     call.stood_still = milliseconds(290);
-    EXPECT_FALSE(lets_others_go_first(call));
+    EXPECT_FALSE(is_bound_to_be_late(call));
     call.stood_still = milliseconds(310);
-    EXPECT_TRUE(lets_others_go_first(call));
+    EXPECT_TRUE(is_bound_to_be_late(call));
 }
 
 // Where the operators name no goal nothing is late.
 TEST(Precedence, WithoutAGoalNobodyIsPutBehind) {
     CallProgress call = Request;
     call.latency_goal = call.pause_goal = Duration::zero();
-    EXPECT_FALSE(lets_others_go_first(call));
+    EXPECT_FALSE(is_bound_to_be_late(call));
     call.begun = true;
     call.stood_still = milliseconds(2000);
-    EXPECT_FALSE(lets_others_go_first(call));
+    EXPECT_FALSE(is_bound_to_be_late(call));
 }
 
 } // namespace
--- a/tests/unit/quarantine_test.cpp
+++ b/tests/unit/quarantine_test.cpp
@@ -20,7 +20,7 @@
 const Fingerprint Other{2, 2};
 
 // What the endpoint broke off, long after it was sent there.
-CutOff old(const Fingerprint& content) {
+AbortedRequest old(const Fingerprint& content) {
     return {content, 60000};
 }
 
@@ -32,16 +32,16 @@
 Time end_some(Quarantine& quarantine, std::size_t count, std::size_t first = 0) {
     Time now = Start;
     for (std::size_t n = first; n < first + count; ++n)
-        quarantine.cut_off(old(Poison), endpoint(n), now = Start + seconds(n));
+        quarantine.aborted(old(Poison), endpoint(n), now = Start + seconds(n));
     return now;
 }
 
 TEST(Quarantine, HoldsBackWhatHasEndedThreeEndpoints) {
     Quarantine quarantine;
-    EXPECT_FALSE(quarantine.cut_off(old(Poison), endpoint(0), Start));
-    EXPECT_FALSE(quarantine.cut_off(old(Poison), endpoint(1), Start + seconds(1)));
+    EXPECT_FALSE(quarantine.aborted(old(Poison), endpoint(0), Start));
+    EXPECT_FALSE(quarantine.aborted(old(Poison), endpoint(1), Start + seconds(1)));
     EXPECT_EQ(quarantine.left(Poison, Start + seconds(1)), Duration::zero());
-    EXPECT_TRUE(quarantine.cut_off(old(Poison), endpoint(2), Start + seconds(2)));
+    EXPECT_TRUE(quarantine.aborted(old(Poison), endpoint(2), Start + seconds(2)));
     EXPECT_GT(quarantine.left(Poison, Start + seconds(2)), minutes(9));
     EXPECT_EQ(quarantine.left(Other, Start + seconds(2)), Duration::zero());
     EXPECT_EQ(quarantine.held(Start + seconds(2)), 1u);
@@ -50,23 +50,23 @@
 TEST(Quarantine, OneEndIsCountedOnceWhoeverTellsOfIt) {
     Quarantine quarantine;
     for (int n = 0; n < 9; ++n)
-        quarantine.cut_off(old(Poison), endpoint(0), Start + seconds(n));
+        quarantine.aborted(old(Poison), endpoint(0), Start + seconds(n));
     EXPECT_EQ(quarantine.suspicion(Poison, Start).ends, 1u);
 }
 
 TEST(Quarantine, AnEndpointThatStartsAgainUnderItsNameIsAnotherOne) {
     Quarantine quarantine;
     for (std::uint64_t start = 1; start <= 3; ++start)
-        quarantine.cut_off(old(Poison), {"i-0", start}, Start + seconds(start));
+        quarantine.aborted(old(Poison), {"i-0", start}, Start + seconds(start));
     EXPECT_GT(quarantine.left(Poison, Start + seconds(3)), Duration::zero());
 }
 
 // Whether the request is held back after so many endpoints ended because of it, `apart` from each
 // other.
-bool is_held_after(std::size_t ends, const CutOff& what, Duration apart) {
+bool is_held_after(std::size_t ends, const AbortedRequest& what, Duration apart) {
     Quarantine quarantine;
     for (std::size_t n = 0; n < ends; ++n)
-        quarantine.cut_off(what, endpoint(n), Start + static_cast<int>(n) * apart);
+        quarantine.aborted(what, endpoint(n), Start + static_cast<int>(n) * apart);
     return quarantine.left(Poison, Start + seconds(1)) > Duration::zero();
 }
 
@@ -88,19 +88,19 @@
     const Time last = end_some(quarantine, 2);
     EXPECT_TRUE(quarantine.clear(Poison));
     EXPECT_FALSE(quarantine.clear(Poison));
-    EXPECT_FALSE(quarantine.cut_off(old(Poison), endpoint(7), last + seconds(1)));
+    EXPECT_FALSE(quarantine.aborted(old(Poison), endpoint(7), last + seconds(1)));
     EXPECT_EQ(quarantine.suspicion(Poison, last).ends, 1u);
 }
 
 TEST(Quarantine, LateWordsOfEndsBeforeAnAnswerChangeNothing) {
     Quarantine quarantine;
     const Time last = end_some(quarantine, 3);
-    const Suspicion before = quarantine.suspicion(Poison, last);
+    const SuspectRequest before = quarantine.suspicion(Poison, last);
     quarantine.clear(Poison);
     for (std::size_t n = 0; n < 3; ++n)
-        EXPECT_FALSE(quarantine.cut_off(old(Poison), endpoint(n), last + seconds(n + 1)));
+        EXPECT_FALSE(quarantine.aborted(old(Poison), endpoint(n), last + seconds(n + 1)));
     EXPECT_FALSE(quarantine.merge(before, last + seconds(4)));
-    EXPECT_FALSE(quarantine.suspects(Poison));
+    EXPECT_FALSE(quarantine.is_suspect(Poison));
     EXPECT_EQ(quarantine.left(Poison, last), Duration::zero());
 }
 
@@ -114,7 +114,7 @@
         quarantine.expire(now);
         if (quarantine.left(Poison, now) > Duration::zero())
             continue;
-        quarantine.cut_off(old(Poison), endpoint(n++), now);
+        quarantine.aborted(old(Poison), endpoint(n++), now);
         ++more;
     }
     EXPECT_LE(more, 3);
@@ -124,7 +124,7 @@
     Quarantine quarantine;
     Time now = end_some(quarantine, 2);
     quarantine.expire(now + minutes(9));
-    EXPECT_TRUE(quarantine.suspects(Poison));
+    EXPECT_TRUE(quarantine.is_suspect(Poison));
     quarantine.expire(now + minutes(11));
     EXPECT_TRUE(quarantine.empty());
 }
@@ -133,7 +133,7 @@
     Quarantine quarantine;
     const Time last = end_some(quarantine, 3);
     for (std::uint64_t n = 0; n < 10000; ++n)
-        quarantine.cut_off(old({n, 77}), endpoint(n), last + milliseconds(n));
+        quarantine.aborted(old({n, 77}), endpoint(n), last + milliseconds(n));
     EXPECT_LE(quarantine.size(), 4096u);
     EXPECT_GT(quarantine.left(Poison, last), Duration::zero());
 }
@@ -141,8 +141,8 @@
 TEST(Quarantine, TellsOthersOnlyOfThoseThatEndedMoreThanOne) {
     Quarantine quarantine;
     const Time last = end_some(quarantine, 3);
-    quarantine.cut_off(old(Other), endpoint(2), last);
-    const std::vector<Suspicion> told = quarantine.worth_telling(last);
+    quarantine.aborted(old(Other), endpoint(2), last);
+    const std::vector<SuspectRequest> told = quarantine.suspects_to_send(last);
     ASSERT_EQ(told.size(), 1u);
     Quarantine newcomer;
     EXPECT_TRUE(newcomer.merge(told.front(), last));
@@ -165,8 +165,8 @@
     for (const std::size_t word : words) {
         now += milliseconds(*rc::gen::inRange(50, 3000));
         const std::size_t which = word % ends;
-        quarantine.cut_off(old(Poison), endpoint(which), now);
-        quarantine.cut_off(old({which / 2, 9}), endpoint(which), now);
+        quarantine.aborted(old(Poison), endpoint(which), now);
+        quarantine.aborted(old({which / 2, 9}), endpoint(which), now);
     }
     RC_ASSERT(quarantine.left(Poison, now) > Duration::zero());
     for (std::uint64_t n = 0; n < ends; ++n)
@@ -180,7 +180,7 @@
     for (std::size_t n = 0; n < 6; ++n) {
         now += seconds(1);
         const bool at_a = *rc::gen::arbitrary<bool>();
-        (at_a ? a : b).cut_off(old(Poison), endpoint(n), now);
+        (at_a ? a : b).aborted(old(Poison), endpoint(n), now);
         const bool tells = *rc::gen::arbitrary<bool>();
         if (tells && a.suspicion(Poison, now).ends > 0)
             b.merge(a.suspicion(Poison, now), now);
--- a/tests/unit/registry_test.cpp
+++ b/tests/unit/registry_test.cpp
@@ -43,7 +43,7 @@
 void copy(const Registry& from, Registry& to) {
     const auto items = from.items();
     for (const auto& [id, item] : items)
-        to.merge(item.report, item.heard);
+        to.merge(item.report, item.last_contact);
 }
 
 TEST(LateReport, ADeadStartThatIsHeardOfLateEndsNobody) {
@@ -146,7 +146,7 @@
     starts.exchange();
     std::size_t asked = 0;
     for (Registry& host : starts.hosts)
-        for (const Registry::Question& question : host.take_questions(now))
+        for (const Registry::AddressCheck& question : host.take_address_checks(now))
             if (question.endpoint.id == "new" && (asked++ == 0 || *rc::gen::arbitrary<bool>()))
                 host.confirmed(question, now);
     starts.exchange();
@@ -182,9 +182,9 @@
     Registry registry;
     registry.merge(report_of("first", 5), Start);
     registry.merge(report_of("second", 1), Start);
-    const auto questions = registry.take_questions(Start);
+    const auto questions = registry.take_address_checks(Start);
     registry.merge(report_of("third", 1), Start);
-    for (const Registry::Question& question : registry.take_questions(Start))
+    for (const Registry::AddressCheck& question : registry.take_address_checks(Start))
         registry.confirmed(question, Start);
     EXPECT_TRUE(serves(registry, "third"));
     registry.confirmed(questions.front(), Start);
@@ -207,7 +207,7 @@
     registry.merge(report_of("living", 1), Start);
     registry.merge(report_of("dead", 7), Start);
     registry.expire(Start + seconds(6));
-    EXPECT_TRUE(registry.take_questions(Start + seconds(6)).empty());
+    EXPECT_TRUE(registry.take_address_checks(Start + seconds(6)).empty());
     EXPECT_TRUE(serves(registry, "living"));
 }
 
@@ -235,11 +235,11 @@
             registry.expire(now + seconds(*rc::gen::inRange(0, 200)));
             break;
         case 4:
-            for (const Registry::Question& question : registry.take_questions(now))
+            for (const Registry::AddressCheck& question : registry.take_address_checks(now))
                 registry.confirmed(question, now);
             break;
         case 5:
-            registry.heard(id, now);
+            registry.seen_alive(id, now);
             break;
         default:
             registry.merge(report, now);
--- a/tests/unit/registryrepair_test.cpp
+++ b/tests/unit/registryrepair_test.cpp
@@ -107,16 +107,16 @@
         for (const EndpointReport& report : copy.reports)
             entry.merge(report, Start);
     EXPECT_TRUE(told("second", whole, Start + milliseconds(120)).empty());
-    EXPECT_FALSE(repair.agreed(entry.range_digests(), Start + seconds(1))); // one host alone
+    EXPECT_FALSE(repair.agreed_ranges(entry.range_digests(), Start + seconds(1))); // one host alone
     EXPECT_TRUE(told("third", whole, Start + milliseconds(121)).empty());
-    EXPECT_FALSE(repair.agreed(entry.range_digests(), Start + milliseconds(130)));
-    const auto ask = repair.agreed(entry.range_digests(), Start + milliseconds(600));
+    EXPECT_FALSE(repair.agreed_ranges(entry.range_digests(), Start + milliseconds(130)));
+    const auto ask = repair.agreed_ranges(entry.range_digests(), Start + milliseconds(600));
     ASSERT_TRUE(ask);
     for (const RangeCopy& copy : copy_ranges(whole, ask->ranges, Start))
         for (const EndpointReport& report : copy.reports)
             entry.merge(report, Start);
     EXPECT_EQ(entry.digest(), whole.digest());
-    EXPECT_FALSE(repair.agreed(entry.range_digests(), Start + seconds(2)));
+    EXPECT_FALSE(repair.agreed_ranges(entry.range_digests(), Start + seconds(2)));
 }
 
 RC_GTEST_PROP(RegistryRepair, BothSidesEndUpEqual, ()) {
@@ -142,7 +142,7 @@
     EngineCost engine;
     engine.loads_per_second = 3;
     engine.models = {{"small", 2, 1.0, 1.0, seconds(12), milliseconds(1100)}};
-    GroupPlanner planner("llm", PlannerBounds{}, false);
+    GroupPlanner planner("llm", GroupPlannerConfig{}, false);
     planner.configure(engine);
     return planner;
 }
@@ -181,7 +181,7 @@
             late.sequence = static_cast<std::uint64_t>(beat) + 1;
             if (behind.merge(late, now))
                 planner.observe(late, now);
-            behind.heard(late.id, now);
+            behind.seen_alive(late.id, now);
         }
         EXPECT_EQ(joins(), 0) << "beat " << beat;
         for (const EndpointOrder& order : orders) {
@@ -198,7 +198,7 @@
     planner.answered(leave, OrderAnswer::Taken, now);
     now += seconds(4); // until those that did not answer are believed again
     for (int n = 0; n < 2; ++n)
-        behind.heard(report_of(n).id, now);
+        behind.seen_alive(report_of(n).id, now);
     EXPECT_EQ(joins(), 2);
 }
 
--- a/tests/unit/state_test.cpp
+++ b/tests/unit/state_test.cpp
@@ -219,8 +219,8 @@
     EXPECT_TRUE(rc::check([] {
         const auto bytes = *rc::gen::container<std::string>(rc::gen::arbitrary<char>());
         for (const auto& kind :
-             {decode<Wire>(bytes).has_value() ? FailureKind::Decode
-                                              : decode<Wire>(bytes).error().kind,
+             {decode<WireMessage>(bytes).has_value() ? FailureKind::Decode
+                                                     : decode<WireMessage>(bytes).error().kind,
               decode<Command>(bytes).has_value() ? FailureKind::Decode
                                                  : decode<Command>(bytes).error().kind})
             RC_ASSERT(kind == FailureKind::Decode);
@@ -235,12 +235,12 @@
     EXPECT_TRUE(rc::check([] {
         Attempt attempt;
         attempt.body = "body";
-        std::string bytes = encode(Wire(attempt));
+        std::string bytes = encode(WireMessage(attempt));
         const auto at = *rc::gen::inRange<std::size_t>(0, bytes.size());
         bytes[at] = *rc::gen::arbitrary<char>();
-        (void)decode<Wire>(bytes);
+        (void)decode<WireMessage>(bytes);
         bytes.resize(*rc::gen::inRange<std::size_t>(0, bytes.size()));
-        (void)decode<Wire>(bytes);
+        (void)decode<WireMessage>(bytes);
     }));
 }
 
--- a/tests/unit/takeover_test.cpp
+++ b/tests/unit/takeover_test.cpp
@@ -46,7 +46,7 @@
 
 // A control host with what has reached it.
 struct Control {
-    explicit Control(bool first_start) : planner("llm", PlannerBounds{}, first_start) {}
+    explicit Control(bool first_start) : planner("llm", GroupPlannerConfig{}, first_start) {}
     GroupPlanner planner;
     Registry registry;
     bool leads = false;
--- a/tests/unit/why_test.cpp
+++ b/tests/unit/why_test.cpp
@@ -95,15 +95,15 @@
     ASSERT_EQ(pipe(ends), 0);
     const std::string line(1000, 'x');
     int written = 0;
-    while (written < 1000 && write_line_now(ends[1], line))
+    while (written < 1000 && try_write_line(ends[1], line))
         ++written;
     EXPECT_GT(written, 10);
     EXPECT_LT(written, 1000);
-    EXPECT_FALSE(write_line_now(ends[1], line));
+    EXPECT_FALSE(try_write_line(ends[1], line));
     char buffer[8192];
     ASSERT_GT(read(ends[0], buffer, sizeof buffer), 0);
     ASSERT_GT(read(ends[0], buffer, sizeof buffer), 0);
-    EXPECT_TRUE(write_line_now(ends[1], line));
+    EXPECT_TRUE(try_write_line(ends[1], line));
     close(ends[0]);
     close(ends[1]);
 }
