--- a/src/process/coordinator.cpp
+++ b/src/process/coordinator.cpp
@@ -60,7 +60,7 @@
     coordinator->endpoint_cache_ = std::make_unique<EndpointCacheFile>(coordinator->storage_);
     coordinator->remembered_ = coordinator->endpoint_cache_->load();
     coordinator->started_ = BootClock::now();
-    log(LogLevel::Info, "endpoints known before the start",
+    log(LogLevel::Info, "cached endpoints loaded",
         {{"count", std::to_string(coordinator->remembered_.size())}});
     return coordinator;
 }
--- a/src/process/coordinatorquarantine.cpp
+++ b/src/process/coordinatorquarantine.cpp
@@ -92,7 +92,7 @@
         orders_.probe(item->report, [this, content = held.content, endpoint = *id](bool alive) {
             if (!alive)
                 return;
-            log(LogLevel::Info, "request cleared: an endpoint that broke it off has not ended",
+            log(LogLevel::Info, "request cleared: an endpoint that aborted it is still running",
                 {{"content", text_of(content)}, {"endpoint", text_of(endpoint)}});
             // Not by the log alone: where it takes both at once, others never see the verdict go.
             send_to_peers(SuspectRequests{{}, {content}});
--- a/src/process/coordinatorregistry.cpp
+++ b/src/process/coordinatorregistry.cpp
@@ -136,7 +136,7 @@
 void Coordinator::pass_on_settled() {
     for (const EndpointId& id : registry_.take_resolved()) {
         const EndpointReport& report = registry_.find(id)->report;
-        log(LogLevel::Info, "address settled",
+        log(LogLevel::Info, "address conflict resolved",
             {{"id", text_of(id)},
              {"address", report.address},
              {"stands", report.phase == EndpointPhase::Gone ? "no" : "yes"}});
--- a/src/process/endpointcachefile.cpp
+++ b/src/process/endpointcachefile.cpp
@@ -81,7 +81,7 @@
         const auto kept = storage_->replace(RosterName, bytes);
         const std::lock_guard lock(mutex_);
         if (!kept && !stopped_)
-            log(LogLevel::Warning, "known endpoints could not be kept on disk",
+            log(LogLevel::Warning, "endpoint cache could not be written",
                 {{"detail", kept.error().detail}});
         return kept.has_value();
     }
@@ -108,13 +108,13 @@
         return {};
     const auto bytes = storage_->read(RosterName);
     if (!bytes) {
-        log(LogLevel::Warning, "known endpoints could not be read",
+        log(LogLevel::Warning, "endpoint cache could not be read",
             {{"detail", bytes.error().detail}});
         return {};
     }
     auto roster = decode_struct<Roster>(*bytes);
     if (!roster) {
-        log(LogLevel::Warning, "known endpoints could not be read",
+        log(LogLevel::Warning, "endpoint cache could not be read",
             {{"detail", roster.error().detail}});
         return {};
     }
--- a/src/process/gateway.cpp
+++ b/src/process/gateway.cpp
@@ -301,7 +301,7 @@
     told = now;
     const StallDetector& watch = directory_.use(id).watch;
     const std::int64_t silent = to_millis(watch.stalled(now));
-    log(LogLevel::Info, "group stands still",
+    log(LogLevel::Info, "group stalled",
         {{"endpoint", text_of(id)},
          {"group", item->report.membership.group},
          {"streams", std::to_string(watch.waiting())},
--- a/src/process/gatewaycontrol.cpp
+++ b/src/process/gatewaycontrol.cpp
@@ -235,13 +235,13 @@
         ++added;
     }
     if (added > 0)
-        log(LogLevel::Info, "endpoints remembered", {{"added", std::to_string(added)}});
+        log(LogLevel::Info, "cached endpoints added", {{"added", std::to_string(added)}});
 }
 
 void Gateway::forget_unconfirmed(Time now) {
     if (unconfirmed_.empty() || !ever_in_service_ || discovering_endpoints(now))
         return;
-    log(LogLevel::Info, "endpoints not heard of again",
+    log(LogLevel::Info, "cached endpoints dropped",
         {{"count", std::to_string(unconfirmed_.size())}});
     for (const EndpointId& id : std::exchange(unconfirmed_, {}))
         directory_.registry().forget(id);
--- a/src/process/gatewaylimits.cpp
+++ b/src/process/gatewaylimits.cpp
@@ -21,7 +21,7 @@
         .counter("liftweir_endpoint_words_ignored",
                  std::string("what=\"") + what + "\",why=\"" + why + "\"")
         .add();
-    log(LogLevel::Warning, "endpoint's word ignored",
+    log(LogLevel::Warning, "endpoint header ignored",
         {{"endpoint", text_of(id)}, {"what", what}, {"why", why}});
 }
 
@@ -47,7 +47,7 @@
     }
     directory_.back_off(id, note.backoff, BootClock::now());
     Metrics::instance().counter("liftweir_rests_asked").add();
-    log(LogLevel::Info, "endpoint asks for rest",
+    log(LogLevel::Info, "endpoint requested back-off",
         {{"endpoint", text_of(id)}, {"rest_ms", std::to_string(to_millis(note.backoff))}});
 }
 
--- a/src/process/groupplanner.cpp
+++ b/src/process/groupplanner.cpp
@@ -53,7 +53,7 @@
         group.members.resize(membership.rank + 1);
     EndpointId& member = group.members[membership.rank];
     if (member.started_before(report.id))
-        bury(group, "another start took the place of member " + text_of(member), now);
+        bury(group, "a newer incarnation replaced member " + text_of(member), now);
     if (!report.id.started_before(member))
         member = report.id;
     note_member(report.id, group.epoch);
@@ -191,7 +191,7 @@
         if (!alive)
             bury(group, "member " + text_of(id) + " does not answer", now);
         else if (group.awaited.empty() && ++group.sound_rounds >= SoundRoundsBelieved)
-            bury(group, "stands still though all members answer", now);
+            bury(group, "stalled though all members answer", now);
     }
 }
 
--- a/src/process/groupprogress.cpp
+++ b/src/process/groupprogress.cpp
@@ -50,7 +50,7 @@
         const EndpointReport* report = report_of(id);
         if (report == nullptr || !registry_->replaced(*report))
             continue;
-        bury(group, "another start is in the place of member " + text_of(id), now);
+        bury(group, "a newer incarnation replaced member " + text_of(id), now);
         return;
     }
 }
@@ -228,7 +228,7 @@
     for (const EndpointId& id : group.members)
         if (!id.empty() && group.awaited.insert(id).second)
             probes_.push_back(id);
-    note("suspected", group.name, group.members.front(), "its streams stand still");
+    note("suspected", group.name, group.members.front(), "its streams stalled");
 }
 
 // The lead's own word frees all members with one order. Where it is silent, each of them has to
--- a/src/process/siteprogram.cpp
+++ b/src/process/siteprogram.cpp
@@ -29,7 +29,7 @@
                        std::function<void(const SiteConfig&)> changed) {
     watch_settings_file(io, file, [file, changed = std::move(changed)] {
         const auto config = read_site_config(file);
-        log(LogLevel::Info, "settings read again",
+        log(LogLevel::Info, "settings reloaded",
             {{"outcome", config ? "good" : config.error().detail}});
         if (config)
             changed(*config);
--- a/src/request/relayedanswer.cpp
+++ b/src/request/relayedanswer.cpp
@@ -134,7 +134,7 @@
         note_cut_off();
     if (how != CallEnd::Complete) {
         host_.directory().failed(endpoint_, BootClock::now());
-        on_broken(how == CallEnd::Broken ? "the endpoint broke off" : "not an answer");
+        on_broken(how == CallEnd::Broken ? "the endpoint aborted the request" : "not an answer");
         return;
     }
     if (note_.not_run) {
--- a/src/request/relayedwait.cpp
+++ b/src/request/relayedwait.cpp
@@ -51,7 +51,7 @@
         return;
     if (begun_) {
         if (now - last_passed_ > patience_between_events())
-            cut("no group to go on at");
+            cut("no group can resume the stream");
         return;
     }
     if (now - received_ < longest_wait(now))
@@ -84,7 +84,7 @@
     if (done_ || endpoint_ != lead || !plan_.route->repeatable() || runs_ + 1 >= runs_allowed())
         return;
     if (takes_another(now))
-        on_broken("the group stands still");
+        on_broken("the group stalled");
 }
 
 } // namespace liftweir
