--- a/tests/unit/platform_test.cpp
+++ b/tests/unit/platform_test.cpp
@@ -1,4 +1,5 @@
-// The adapter: what comes in wrong is refused with a type, and what goes out says what it must.
+// Translation between the users' platform and liftweir: wrong input is rejected with a typed error,
+// and outgoing requests and orders carry the fields that they need.
 
 #include "platform/callers.h"
 #include "platform/document.h"
@@ -13,7 +14,7 @@
 
 using std::chrono::milliseconds;
 
-const std::string Good = R"({"version":7,"routes":[
+const std::string ValidDocument = R"({"version":7,"routes":[
  {"name":"r1","hostname":"h.example","path-prefix":"/a/","route-type":"streaming","timeout-ms":8000,
   "target-latency-ms":400,"priority":1,"traffic-split":[{"service":"llm","weight":90},
   {"service":"app","weight":10}],"max-attempts":2,"public-access":false,"stream-resume":true,
@@ -27,15 +28,15 @@
  "limits":{"max-header-bytes":1000,"idle-timeout-ms":15000},
  "tenants":[{"name":"t","api-keys":["k1","k2"],"priority":1}]})";
 
-std::string spoiled(const std::string& what, const std::string& with) {
-    std::string text = Good;
-    const auto at = text.find(what);
-    EXPECT_NE(at, std::string::npos) << what;
-    return text.replace(at, what.size(), with);
+std::string with_replaced(const std::string& old_part, const std::string& new_part) {
+    std::string text = ValidDocument;
+    const auto at = text.find(old_part);
+    EXPECT_NE(at, std::string::npos) << old_part;
+    return text.replace(at, old_part.size(), new_part);
 }
 
-TEST(Document, IsDecodedIntoTheProductsOwnTypes) {
-    const auto d = read_document(Good);
+TEST(Document, IsDecodedIntoDeployment) {
+    const auto d = read_document(ValidDocument);
     ASSERT_TRUE(d) << d.error().detail;
     EXPECT_EQ(d->version, 7u);
     const Route& route = d->routes[0];
@@ -51,28 +52,32 @@
     EXPECT_EQ(d->customers[0].keys.size(), 2u);
 }
 
-TEST(Document, EveryInvalidKindIsRefused) {
-    EXPECT_FALSE(read_document(Good.substr(0, Good.size() / 2)));
-    EXPECT_FALSE(read_document(Good + "x"));
+TEST(Document, EveryKindOfInvalidInputIsRejected) {
+    EXPECT_FALSE(read_document(ValidDocument.substr(0, ValidDocument.size() / 2)));
+    EXPECT_FALSE(read_document(ValidDocument + "x"));
     EXPECT_FALSE(read_document(""));
     EXPECT_FALSE(read_document("[]"));
-    EXPECT_FALSE(read_document(spoiled("\"version\":7", "\"version\":\"7\"")));
+    EXPECT_FALSE(read_document(with_replaced("\"version\":7", "\"version\":\"7\"")));
+    EXPECT_FALSE(read_document(
+        with_replaced("\"service\":\"app\",\"public", "\"service\":\"no\",\"public")));
     EXPECT_FALSE(
-        read_document(spoiled("\"service\":\"app\",\"public", "\"service\":\"no\",\"public")));
-    EXPECT_FALSE(read_document(spoiled("\"path-prefix\":\"/b/\"", "\"path-prefix\":\"/a/\"")));
-    EXPECT_FALSE(read_document(spoiled("\"weight\":90},\n  {\"service\":\"app\",\"weight\":10}",
-                                       "\"weight\":0},\n  {\"service\":\"app\",\"weight\":0}")));
-    EXPECT_FALSE(read_document(spoiled("\"timeout-ms\":2000", "\"timeout-ms\":0")));
-    EXPECT_FALSE(read_document(spoiled("{\"name\":\"t\",", "{\"name\":\"u\",\"api-keys\":[\"k1\"]},"
-                                                           "{\"name\":\"t\",")));
-    EXPECT_FALSE(read_document(spoiled("\"routes\":[", "\"routes\":[3,")));
+        read_document(with_replaced("\"path-prefix\":\"/b/\"", "\"path-prefix\":\"/a/\"")));
+    EXPECT_FALSE(
+        read_document(with_replaced("\"weight\":90},\n  {\"service\":\"app\",\"weight\":10}",
+                                    "\"weight\":0},\n  {\"service\":\"app\",\"weight\":0}")));
+    EXPECT_FALSE(read_document(with_replaced("\"timeout-ms\":2000", "\"timeout-ms\":0")));
+    EXPECT_FALSE(
+        read_document(with_replaced("{\"name\":\"t\",", "{\"name\":\"u\",\"api-keys\":[\"k1\"]},"
+                                                        "{\"name\":\"t\",")));
+    EXPECT_FALSE(read_document(with_replaced("\"routes\":[", "\"routes\":[3,")));
     EXPECT_FALSE(read_document(std::string(100000, '[')));
-    const auto endless = read_document(spoiled("\"timeout-ms\":2000", "\"timeout-ms\":1e300"));
-    EXPECT_TRUE(!endless || endless->routes[1].timeout > Duration::zero());
+    const auto very_long =
+        read_document(with_replaced("\"timeout-ms\":2000", "\"timeout-ms\":1e300"));
+    EXPECT_TRUE(!very_long || very_long->routes[1].timeout > Duration::zero());
 }
 
-RC_GTEST_PROP(Document, AnyDamageIsReadWholeOrRefused, ()) {
-    std::string text = Good;
+RC_GTEST_PROP(Document, DamagedDocumentIsReadWholeOrRejected, ()) {
+    std::string text = ValidDocument;
     const auto changes = *rc::gen::inRange(1, 4);
     for (int i = 0; i < changes; ++i)
         text[static_cast<std::size_t>(*rc::gen::inRange<int>(0, static_cast<int>(text.size())))] =
@@ -82,7 +87,7 @@
         RC_ASSERT(check(*document).has_value());
 }
 
-TEST(Registration, TellsGroupAndState) {
+TEST(Registration, CarriesGroupAndState) {
     const auto report = read_registration(
         "i-1", R"({"service":"llm","address":"10.0.0.9:80","zone":"z","version":"v1","slots":48,
         "state":"draining","cold-remaining-ms":0,"sequence":4,"domain":"d0","staged":["m"],"group":{"name":"m.12","epoch":12,"rank":0,
@@ -94,15 +99,16 @@
     EXPECT_EQ(report->staged, std::vector<std::string>{"m"});
 }
 
-TEST(Registration, WithoutAddressOrServiceIsRefused) {
+TEST(Registration, WithoutAddressOrServiceIsRejected) {
     EXPECT_FALSE(read_registration("i-1", R"({"service":"llm","sequence":1})"));
     EXPECT_FALSE(read_registration("i-1", R"({"address":"10.0.0.9:80","sequence":1})"));
     EXPECT_FALSE(read_registration("", R"({"service":"llm","address":"10.0.0.9:80"})"));
     EXPECT_FALSE(read_registration("i-1", "{"));
 }
 
-// Found by reading: a list within the list threw out of the handler. No worker writes one.
-TEST(Registration, StrangeModelsAreRefused) {
+// The JSON library throws where a list stands in the place of a name; the exception must not leave
+// the HTTP handler. No endpoint sends such a list.
+TEST(Registration, StagedModelsOfAnotherTypeAreRejected) {
     const std::string begin =
         R"({"service":"llm","address":"10.0.0.9:80","zone":"z","version":"v1","slots":48,
         "state":"ready","cold-remaining-ms":0,"sequence":4,"staged":)";
@@ -121,7 +127,7 @@
     (void)read_registration("i-1", "{\"group\":" + bytes + "}");
 }
 
-TEST(Orders, SayWhatTheirKindNeeds) {
+TEST(Orders, CarryTheFieldsOfTheirKind) {
     EndpointOrder order;
     order.kind = OrderKind::Join;
     order.group = "m.12";
@@ -176,8 +182,8 @@
                          {"X-Own", "2"}};
 };
 
-// The key stays here, and what liftweir sets can not be set by a client.
-TEST(ClientProtocol, PassesOnWhatIsTheClientsAndSetsWhatIsOurs) {
+// The customer's key is not forwarded, and a client can not set the headers that liftweir sets.
+TEST(ClientProtocol, ForwardsClientHeadersAndSetsItsOwn) {
     const ClientProtocol protocol;
     const FakeExchange exchange;
     const CallerRequest request = protocol.read(exchange);
@@ -199,7 +205,7 @@
     EXPECT_EQ(times, 1);
 }
 
-TEST(ClientProtocol, OnlyAWorkersOwnWordMeansThatItDidNotRun) {
+TEST(ClientProtocol, OnlyAnExplicitSignalMeansThatARequestDidNotRun) {
     const ClientProtocol protocol;
     CallerRequest request;
     request.id = "r1";
@@ -212,50 +218,52 @@
         protocol.parse_response({200, {{"Request-Id", "r1"}}}, request).request_id_mismatch);
 }
 
-ResponseSignals note_of(HttpHeaders headers) {
+ResponseSignals signals_of(HttpHeaders headers) {
     return ClientProtocol().parse_response({200, std::move(headers)}, {});
 }
 
-TEST(ClientProtocol, ReadsTheLimitThatAnEndpointNames) {
-    EXPECT_EQ(note_of({{"Server-Limit", "3.9"}}).limit_per_second, 3.9);
-    EXPECT_EQ(note_of({{"server-limit", "12"}}).limit_per_second, 12);
-    EXPECT_EQ(note_of({}).limit_per_second, 0);
-    EXPECT_EQ(note_of({}).limit_fault, NumberFault::None);
+TEST(ClientProtocol, ReadsTheAnnouncedLimit) {
+    EXPECT_EQ(signals_of({{"Server-Limit", "3.9"}}).limit_per_second, 3.9);
+    EXPECT_EQ(signals_of({{"server-limit", "12"}}).limit_per_second, 12);
+    EXPECT_EQ(signals_of({}).limit_per_second, 0);
+    EXPECT_EQ(signals_of({}).limit_fault, NumberFault::None);
 }
 
-TEST(ClientProtocol, IgnoresALimitThatCanNotBeReadAndSaysWhy) {
+TEST(ClientProtocol, IgnoresAnInvalidLimitAndReportsTheFault) {
     for (const char* text :
          {"", "-1", "nan", "inf", "1e3", "3,5", "0x10", "3.9 4", "many", "1.2.3"})
-        EXPECT_EQ(note_of({{"Server-Limit", text}}).limit_fault, NumberFault::Unreadable) << text;
+        EXPECT_EQ(signals_of({{"Server-Limit", text}}).limit_fault, NumberFault::Unreadable)
+            << text;
     for (const char* text : {"0", "0.0", "1000001", "99999999999999999999999999"})
-        EXPECT_EQ(note_of({{"Server-Limit", text}}).limit_fault, NumberFault::OutOfRange) << text;
-    const ResponseSignals twice = note_of({{"Server-Limit", "3"}, {"Server-Limit", "4"}});
+        EXPECT_EQ(signals_of({{"Server-Limit", text}}).limit_fault, NumberFault::OutOfRange)
+            << text;
+    const ResponseSignals twice = signals_of({{"Server-Limit", "3"}, {"Server-Limit", "4"}});
     EXPECT_EQ(twice.limit_fault, NumberFault::Repeated);
     EXPECT_EQ(twice.limit_per_second, 0);
 }
 
-TEST(ClientProtocol, ReadsTheRestThatAnEndpointAsksFor) {
-    const auto judged = [](int status, const char* text) {
+TEST(ClientProtocol, ReadsTheRequestedBackoff) {
+    const auto parsed = [](int status, const char* text) {
         return ClientProtocol().parse_response({status, {{"Retry-After", text}}}, {});
     };
-    EXPECT_EQ(judged(503, "3").backoff, std::chrono::seconds(3));
-    EXPECT_EQ(judged(503, "2.5").backoff, milliseconds(2500));
-    EXPECT_EQ(judged(200, "3").backoff, Duration::zero());
+    EXPECT_EQ(parsed(503, "3").backoff, std::chrono::seconds(3));
+    EXPECT_EQ(parsed(503, "2.5").backoff, milliseconds(2500));
+    EXPECT_EQ(parsed(200, "3").backoff, Duration::zero());
     for (const char* text : {"-3", "nan", "", "soon", "Wed, 21 Oct 2026 07:28:00 GMT"})
-        EXPECT_EQ(judged(503, text).backoff_fault, NumberFault::Unreadable) << text;
-    EXPECT_EQ(judged(503, "1e9").backoff_fault, NumberFault::Unreadable);
-    EXPECT_EQ(judged(503, "1000000000").backoff_fault, NumberFault::OutOfRange);
-    EXPECT_EQ(judged(503, "1000000000").backoff, Duration::zero());
+        EXPECT_EQ(parsed(503, text).backoff_fault, NumberFault::Unreadable) << text;
+    EXPECT_EQ(parsed(503, "1e9").backoff_fault, NumberFault::Unreadable);
+    EXPECT_EQ(parsed(503, "1000000000").backoff_fault, NumberFault::OutOfRange);
+    EXPECT_EQ(parsed(503, "1000000000").backoff, Duration::zero());
 }
 
-TEST(ClientProtocol, ReadsThatAnEndpointLeaves) {
-    EXPECT_TRUE(note_of({{"Server-Leaving", "1"}}).leaving);
+TEST(ClientProtocol, ReadsServerLeaving) {
+    EXPECT_TRUE(signals_of({{"Server-Leaving", "1"}}).leaving);
     for (const char* text : {"0", "", "yes"})
-        EXPECT_FALSE(note_of({{"Server-Leaving", text}}).leaving) << text;
-    EXPECT_FALSE(note_of({}).leaving);
+        EXPECT_FALSE(signals_of({{"Server-Leaving", text}}).leaving) << text;
+    EXPECT_FALSE(signals_of({}).leaving);
 }
 
-TEST(ClientProtocol, RefusesPathsWithControlCharacters) {
+TEST(ClientProtocol, RejectsPathsWithControlCharacters) {
     FakeExchange exchange;
     exchange.target_ = "/a\tb";
     EXPECT_FALSE(ClientProtocol().read(exchange).wellformed);
--- a/tests/unit/workers_test.cpp
+++ b/tests/unit/workers_test.cpp
@@ -1,4 +1,4 @@
-// Orders and probes where connections to endpoints go silent for good.
+// Orders and probes to endpoints whose open connections stop responding, or that have restarted.
 
 #include "platform/workers.h"
 
@@ -12,11 +12,11 @@
 
 using std::chrono::milliseconds;
 
-// Answers the first request of each connection, and takes the later ones without a word.
-struct WorkerWithSilentConnections : testing::Test {
+// Answers the first request of each connection, and never answers a later one.
+struct EndpointWithUnresponsiveConnections : testing::Test {
     using Socket = std::shared_ptr<asio::ip::tcp::socket>;
 
-    WorkerWithSilentConnections() { accept(); }
+    EndpointWithUnresponsiveConnections() { accept(); }
 
     void accept() {
         acceptor.async_accept([this](asio::error_code error, asio::ip::tcp::socket accepted) {
@@ -76,26 +76,28 @@
     std::vector<Socket> sockets;
     EndpointId endpoint_id = "i-1";
     std::string body = "ok"; // of each answer
-    WorkerOrders orders{io};
+    HttpEndpointOrders orders{io};
 };
 
-TEST_F(WorkerWithSilentConnections, AProbeDoesNotTakeASilentConnectionForALostMember) {
+TEST_F(EndpointWithUnresponsiveConnections,
+       ProbeDoesNotReportMemberLostOverUnresponsiveConnection) {
     EXPECT_EQ(order(), OrderAnswer::Taken);
     EXPECT_TRUE(probe());
     EXPECT_TRUE(probe());
 }
 
-TEST_F(WorkerWithSilentConnections, AnOrderDoesNotWaitOnASilentConnection) {
+TEST_F(EndpointWithUnresponsiveConnections, OrderDoesNotWaitOnUnresponsiveConnection) {
     EXPECT_TRUE(probe());
     EXPECT_EQ(order(), OrderAnswer::Taken);
 }
 
-// A start knows its name only: asked for the one before it, it answers, and says when it began.
-struct WorkerThatStartedAgain : WorkerWithSilentConnections {
-    WorkerThatStartedAgain() { body = R"({"busy":false,"sequence":0,"born":1700000002000})"; }
+// A restarted endpoint compares only its name: it answers calls that were meant for its previous
+// incarnation, with its own start time in the body.
+struct RestartedEndpoint : EndpointWithUnresponsiveConnections {
+    RestartedEndpoint() { body = R"({"busy":false,"sequence":0,"born":1700000002000})"; }
 };
 
-TEST_F(WorkerThatStartedAgain, IsNoSignOfLifeOfTheStartBefore) {
+TEST_F(RestartedEndpoint, DoesNotAnswerForItsPreviousIncarnation) {
     endpoint_id = {"i-1", 1700000001000};
     EXPECT_FALSE(probe());
     EXPECT_EQ(order(), OrderAnswer::Elsewhere);
