--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -1,3 +1,5 @@
+// liftweirctl, the operators' command line tool: its options and commands.
+
 #include "connection/secret.h"
 #include "ctl/session.h"
 #include "ctl/timelineview.h"
@@ -36,20 +38,22 @@
 
 using Arguments = std::vector<std::string>;
 
-struct Verb {
+// One row of the table of commands.
+struct CtlCommand {
     const char* words;
     const char* arguments;
     const char* help;
-    std::size_t least;
+    std::size_t min_arguments;
     std::function<int(Session&, const Options&, const Arguments&)> run;
 };
 
-std::string new_order() {
+std::string new_order_id() {
     std::ostringstream text;
     text << std::hex << new_incarnation();
     return "order-" + text.str();
 }
 
+// A JSON value as one cell of a table; the items of an array are joined by commas.
 std::string cell(const Json::Value& value) {
     if (value.isString())
         return value.asString();
@@ -61,7 +65,7 @@
     return out;
 }
 
-// Rows of objects as a table with one column per field.
+// Prints a list of objects as a table with one column per field.
 void print_table(const Json::Value& rows, const std::vector<std::string>& columns) {
     std::vector<std::size_t> widths;
     for (const std::string& column : columns) {
@@ -85,32 +89,35 @@
         line([&](std::size_t i) { return cell(row[columns[i]]); });
 }
 
-int finish(const Options& options, const RpcAnswer& answer,
+// Prints the result or the error of a call. Returns the exit code.
+int finish(const Options& options, const RpcResponse& response,
            const std::vector<std::string>& columns = {}) {
-    if (answer.kind != RpcAnswer::Kind::Result) {
+    if (response.kind != RpcResponse::Kind::Result) {
         if (options.json) {
             Json::Value error;
-            error["error"]["type"] = answer.type;
-            error["error"]["detail"] = answer.detail;
+            error["error"]["type"] = response.type;
+            error["error"]["detail"] = response.detail;
             std::cout << to_text(error) << "\n";
         }
-        std::cerr << "liftweirctl: " << answer.type << ": " << answer.detail << "\n";
-        return exit_code_of(answer);
+        std::cerr << "liftweirctl: " << response.type << ": " << response.detail << "\n";
+        return exit_code_of(response);
     }
     if (options.json || columns.empty())
-        std::cout << (options.json ? to_text(answer.result) : answer.result.toStyledString())
+        std::cout << (options.json ? to_text(response.result) : response.result.toStyledString())
                   << "\n";
     else
-        print_table(answer.result, columns);
+        print_table(response.result, columns);
     return CtlOk;
 }
 
-// Reads one value of the command line: JSON, or plain text where it is not JSON.
+// Parses a value of the command line as JSON; a value that is not JSON is taken as a string.
 Json::Value value_of(const std::string& text) {
     const auto json = parse_json(text);
     return json ? *json : Json::Value(text);
 }
 
+// Sets one setting, or unsets it where the value is null. Without --base, the change is based on
+// the newest version of the settings.
 int set_settings(Session& session, const Options& options, const std::string& path,
                  const std::string& key, const Json::Value& value) {
     if (!value.isNull())
@@ -121,12 +128,12 @@
     Json::Value params;
     params["base"] = Json::Int64(options.base);
     if (options.base < 0) {
-        const RpcAnswer now = session.call("settings.get", Json::objectValue);
-        if (now.kind != RpcAnswer::Kind::Result)
-            return finish(options, now);
-        params["base"] = now.result["version"];
+        const RpcResponse current = session.call("settings.get", Json::objectValue);
+        if (current.kind != RpcResponse::Kind::Result)
+            return finish(options, current);
+        params["base"] = current.result["version"];
     }
-    params["order"] = options.order.empty() ? new_order() : options.order;
+    params["order"] = options.order.empty() ? new_order_id() : options.order;
     Json::Value change;
     change["path"] = path;
     change["key"] = key;
@@ -138,7 +145,7 @@
 int set_host_mode(Session& session, const Options& options, const std::string& host,
                   const std::string& mode) {
     Json::Value params;
-    params["order"] = options.order.empty() ? new_order() : options.order;
+    params["order"] = options.order.empty() ? new_order_id() : options.order;
     params["host"] = host;
     params["mode"] = mode;
     return finish(options, session.call("hosts.mode", params));
@@ -151,22 +158,22 @@
     return finish(options, session.call("control.voters", params));
 }
 
-int list(Session& session, const Options& options, const std::string& method,
-         const std::vector<std::string>& columns) {
+int print_list(Session& session, const Options& options, const std::string& method,
+               const std::vector<std::string>& columns) {
     return finish(options, session.call(method, Json::objectValue), columns);
 }
 
-// Drains every group or host that a predicate picks, e.g. all of a zone.
+// Drains all hosts of a zone. Returns the highest exit code.
 int drain_zone(Session& session, const Options& options, const std::string& zone) {
-    const RpcAnswer hosts = session.call("hosts.list", Json::objectValue);
-    if (hosts.kind != RpcAnswer::Kind::Result)
+    const RpcResponse hosts = session.call("hosts.list", Json::objectValue);
+    if (hosts.kind != RpcResponse::Kind::Result)
         return finish(options, hosts);
-    int worst = CtlOk;
+    int exit_code = CtlOk;
     for (const Json::Value& host : hosts.result)
         if (host["zone"].asString() == zone)
-            worst = std::max(worst,
-                             set_host_mode(session, options, host["host"].asString(), "draining"));
-    return worst;
+            exit_code = std::max(
+                exit_code, set_host_mode(session, options, host["host"].asString(), "draining"));
+    return exit_code;
 }
 
 int check_config(const Arguments& arguments) {
@@ -182,7 +189,7 @@
     return CtlOk;
 }
 
-// The docs page of all keys, from the table that checks them.
+// Prints the documentation page of all settings, from the table that also checks their values.
 int print_keys() {
     std::cout << "# Settings\n\nGenerated by `liftweirctl keys` from the table in "
                  "`src/version/keys.cpp`.\n\n"
@@ -202,72 +209,73 @@
 
 int resolve_once(Session& session, const Options& options, const Arguments& a) {
     if (a[2] != "ran" && a[2] != "not-run") {
-        std::cerr << "liftweirctl: say ran or not-run\n";
+        std::cerr << "liftweirctl: the outcome must be ran or not-run\n";
         return CtlUsage;
     }
     Json::Value params = pair("customer", a[0], "key", a[1]);
-    params["order"] = options.order.empty() ? new_order() : options.order;
+    params["order"] = options.order.empty() ? new_order_id() : options.order;
     params["ran"] = a[2] == "ran";
     return finish(options, session.call("once.resolve", params));
 }
 
-const std::vector<Verb>& verbs();
+const std::vector<CtlCommand>& commands();
 
 int print_completion() {
     std::cout << "_liftweirctl() {\n  COMPREPLY=($(compgen -W \"";
-    for (const Verb& verb : verbs())
-        std::cout << verb.words << " ";
+    for (const CtlCommand& command : commands())
+        std::cout << command.words << " ";
     std::cout << "\" -- \"${COMP_WORDS[COMP_CWORD]}\"))\n}\ncomplete -F _liftweirctl liftweirctl\n";
     return CtlOk;
 }
 
-const std::vector<Verb>& verbs() {
+const std::vector<CtlCommand>& commands() {
     using O = const Options&;
     using A = const Arguments&;
-    static const std::vector<Verb> table = {
+    static const std::vector<CtlCommand> table = {
         {"settings get", "", "all settings that the token may see", 0,
          [](Session& s, O o, A) {
-             RpcAnswer answer = s.call("settings.get", Json::objectValue);
-             if (!o.json && answer.kind == RpcAnswer::Kind::Result) {
-                 std::cout << "version " << answer.result["version"] << "\n";
-                 answer.result = Json::Value(answer.result["settings"]);
+             RpcResponse response = s.call("settings.get", Json::objectValue);
+             if (!o.json && response.kind == RpcResponse::Kind::Result) {
+                 std::cout << "version " << response.result["version"] << "\n";
+                 response.result = Json::Value(response.result["settings"]);
              }
-             return finish(o, answer, {"path", "key", "value", "version", "author"});
+             return finish(o, response, {"path", "key", "value", "version", "author"});
          }},
-        {"settings set", "PATH KEY VALUE", "change one setting; answers once it is in force", 3,
+        {"settings set", "PATH KEY VALUE", "change one setting; returns once it is in force", 3,
          [](Session& s, O o, A a) { return set_settings(s, o, a[0], a[1], value_of(a[2])); }},
-        {"settings unset", "PATH KEY", "let the level above decide again", 2,
+        {"settings unset", "PATH KEY", "remove a setting, so that the level above applies", 2,
          [](Session& s, O o, A a) { return set_settings(s, o, a[0], a[1], Json::Value()); }},
-        {"settings explain", "KEY --site SITE", "where a value comes from, deciding level last", 1,
+        {"settings explain", "KEY --site SITE", "which levels set a value; the last one applies", 1,
          [](Session& s, O o, A a) {
              return finish(o, s.call("settings.explain", pair("site", o.site, "key", a[0])),
                            {"path", "value", "version", "author"});
          }},
         {"settings history", "", "who changed what", 0,
          [](Session& s, O o, A) {
-             return list(s, o, "settings.history", {"version", "wall_ms", "author", "changes"});
+             return print_list(s, o, "settings.history",
+                               {"version", "wall_ms", "author", "changes"});
          }},
         {"hosts list", "", "all hosts", 0,
          [](Session& s, O o, A) {
-             return list(s, o, "hosts.list",
-                         {"host", "site", "zone", "domain", "role", "accelerators", "mode", "group",
-                          "silent"});
+             return print_list(s, o, "hosts.list",
+                               {"host", "site", "zone", "domain", "role", "accelerators", "mode",
+                                "group", "silent"});
          }},
-        {"hosts drain", "HOST", "planned stop: replace its group first, cut nothing", 1,
+        {"hosts drain", "HOST", "planned stop: replace its group first, abort no request", 1,
          [](Session& s, O o, A a) { return set_host_mode(s, o, a[0], "draining"); }},
         {"hosts undrain", "HOST", "let the host serve again", 1,
          [](Session& s, O o, A a) { return set_host_mode(s, o, a[0], "active"); }},
-        {"hosts forget", "HOST", "vouch that the host is off for good", 1,
+        {"hosts forget", "HOST", "confirm that the host is off for good", 1,
          [](Session& s, O o, A a) { return set_host_mode(s, o, a[0], "forgotten"); }},
         {"zone drain", "ZONE", "planned stop of every host of a zone", 1,
          [](Session& s, O o, A a) { return drain_zone(s, o, a[0]); }},
         {"groups list", "", "all groups", 0,
          [](Session& s, O o, A) {
-             return list(s, o, "groups.list",
-                         {"group", "site", "domain", "model", "version", "members", "phase",
-                          "serving", "reason"});
+             return print_list(s, o, "groups.list",
+                               {"group", "site", "domain", "model", "version", "members", "phase",
+                                "serving", "reason"});
          }},
-        {"groups explain", "GROUP", "the repairs weighed for a broken group, with prices", 1,
+        {"groups explain", "GROUP", "the repair options of a broken group, with their costs", 1,
          [](Session& s, O o, A a) {
              Json::Value params;
              params["group"] = Json::UInt64(std::strtoull(a[0].c_str(), nullptr, 10));
@@ -279,19 +287,19 @@
              params["group"] = Json::UInt64(std::strtoull(a[0].c_str(), nullptr, 10));
              return finish(o, s.call("groups.drain", params));
          }},
-        {"once show", "CUSTOMER [KEY]", "claims of calls that may not be repeated", 1,
+        {"once show", "CUSTOMER [KEY]", "claims of idempotency keys", 1,
          [](Session& s, O o, A a) {
              return finish(
                  o, s.call("once.show", pair("customer", a[0], "key", a.size() > 1 ? a[1] : "")),
                  {"key", "phase", "status", "answer_kept", "claimed_ms", "entry"});
          }},
-        {"once resolve", "CUSTOMER KEY ran|not-run", "say whether an unknown call ran", 3,
-         resolve_once},
+        {"once resolve", "CUSTOMER KEY ran|not-run",
+         "record whether a call with an unknown outcome ran", 3, resolve_once},
         {"control add", "NODE", "add a control host to the voters", 1,
          [](Session& s, O o, A a) { return change_voters(s, o, a[0], true); }},
         {"control remove", "NODE", "remove a control host from the voters", 1,
          [](Session& s, O o, A a) { return change_voters(s, o, a[0], false); }},
-        {"status", "", "leader, versions, counts and broken invariants", 0,
+        {"status", "", "leader, versions, counts and violated invariants", 0,
          [](Session& s, O o, A) { return finish(o, s.call("status", Json::objectValue)); }},
         {"timeline", "[--since S] [--host H] [--group G] [--request R] [--follow]",
          "events of all processes in causal order", 0,
@@ -306,7 +314,8 @@
              filter.json = o.json;
              return show_timeline(s, filter);
          }},
-        {"why", "REQUEST FILE...", "what led to a request's end, from the logs of all processes", 2,
+        {"why", "REQUEST FILE...",
+         "what led to a request's outcome, from the logs of all processes", 2,
          [](Session&, O, A a) { return explain_request(a[0], Arguments(a.begin() + 1, a.end())); }},
         {"ticket", "[--days N]", "a ticket for /metrics and /events of every process", 0,
          [](Session& s, O o, A) {
@@ -322,12 +331,12 @@
              std::cout << sha256_hex(a[0]) << "\n";
              return CtlOk;
          }},
-        {"metrics", "", "the docs page of all metrics", 0,
+        {"metrics", "", "print the documentation page of all metrics", 0,
          [](Session&, O, A) {
              std::cout << metrics_page();
              return CtlOk;
          }},
-        {"keys", "", "the docs page of all settings", 0,
+        {"keys", "", "print the documentation page of all settings", 0,
          [](Session&, O, A) { return print_keys(); }},
         {"completion", "", "completion for bash", 0,
          [](Session&, O, A) { return print_completion(); }},
@@ -335,13 +344,13 @@
     return table;
 }
 
-int print_verbs() {
+int print_help() {
     std::cout << "liftweirctl [OPTIONS] COMMAND\n\n";
-    for (const Verb& verb : verbs())
-        std::cout << "  " << verb.words << " " << verb.arguments << "\n      " << verb.help << "\n";
-    std::cout << "\nOptions: liftweirctl --help. Exit codes: 0 done, 1 refused, 2 wrong command "
-                 "line or\nsettings, 3 no leading control host reached, 4 lost against another "
-                 "change.\n";
+    for (const CtlCommand& command : commands())
+        std::cout << "  " << command.words << " " << command.arguments << "\n      " << command.help
+                  << "\n";
+    std::cout << "\nOptions: liftweirctl --help. Exit codes: 0 done, 1 rejected, 2 wrong command "
+                 "line or\nsettings, 3 leader not reached, 4 conflict with another change.\n";
     return CtlOk;
 }
 
@@ -355,27 +364,28 @@
 
 int run(const Options& options, const Arguments& words) {
     if (words.empty() || words[0] == "help")
-        return print_verbs();
-    for (const Verb& verb : verbs()) {
-        const std::string first = verb.words;
-        const std::size_t length = first.find(' ') == std::string::npos ? 1 : 2;
+        return print_help();
+    for (const CtlCommand& command : commands()) {
+        const std::string name = command.words;
+        const std::size_t length = name.find(' ') == std::string::npos ? 1 : 2;
         const std::string given =
             length == 1 || words.size() < 2 ? words[0] : words[0] + " " + words[1];
-        if (given != first)
+        if (given != name)
             continue;
         const Arguments rest(words.begin() + static_cast<std::ptrdiff_t>(length), words.end());
-        if (rest.size() < verb.least) {
-            std::cerr << "liftweirctl: " << verb.words << " " << verb.arguments << "\n";
+        if (rest.size() < command.min_arguments) {
+            std::cerr << "liftweirctl: " << command.words << " " << command.arguments << "\n";
             return CtlUsage;
         }
         Session session(split_commas(options.control), options.token, options.timeout_ms);
-        return verb.run(session, options, rest);
+        return command.run(session, options, rest);
     }
     std::cerr << "liftweirctl: unknown command '" << words[0] << "'; see liftweirctl help\n";
     return CtlUsage;
 }
 
-std::string taken(char* text) {
+// Copies a string that popt allocated, and frees it.
+std::string take_string(char* text) {
     std::string out = text == nullptr ? "" : text;
     std::free(text);
     return out;
@@ -400,14 +410,15 @@
         {"site", 0, POPT_ARG_STRING, &site, 0, "organisation/region/site", "SITE"},
         {"base", 0, POPT_ARG_LONGLONG, &options.base, 0,
          "settings version that the change is based on; default: the newest", "VERSION"},
-        {"order", 0, POPT_ARG_STRING, &order, 0, "order id; give the same one to resend", "ID"},
+        {"order", 0, POPT_ARG_STRING, &order, 0, "order id; reuse it to retry the same order",
+         "ID"},
         {"host", 0, POPT_ARG_STRING, &host, 0, "only this host", "HOST"},
         {"group", 0, POPT_ARG_LONGLONG, &options.group, 0, "only this group", "GROUP"},
         {"request", 0, POPT_ARG_STRING, &request, 0, "only this request", "ID"},
         {"since", 0, POPT_ARG_INT, &options.since_s, 0, "only the last seconds", "SECONDS"},
-        {"days", 0, POPT_ARG_INT, &options.days, 0, "life of a ticket", "DAYS"},
-        {"timeout-ms", 0, POPT_ARG_INT, &options.timeout_ms, 0, "longest wait", "MS"},
-        {"follow", 'f', POPT_ARG_NONE, &follow, 0, "go on showing events", nullptr},
+        {"days", 0, POPT_ARG_INT, &options.days, 0, "days that a ticket is valid", "DAYS"},
+        {"timeout-ms", 0, POPT_ARG_INT, &options.timeout_ms, 0, "time limit of a call", "MS"},
+        {"follow", 'f', POPT_ARG_NONE, &follow, 0, "keep showing new events", nullptr},
         {"json", 0, POPT_ARG_NONE, &json, 0, "print JSON", nullptr},
         POPT_AUTOHELP POPT_TABLEEND};
     const poptContext context = poptGetContext("liftweirctl", argc, argv, table, 0);
@@ -423,16 +434,17 @@
     while (const char* word = poptGetArg(context))
         words.emplace_back(word);
     poptFreeContext(context);
+    // The option if given, else the environment variable, else the default.
     const auto from = [](const std::string& given, const char* variable, const std::string& other) {
         const char* set = std::getenv(variable);
         return !given.empty() ? given : set != nullptr ? set : other;
     };
-    options.control = from(taken(control), "LIFTWEIR_CONTROL", options.control);
-    options.token = from(taken(token), "LIFTWEIR_TOKEN", "");
-    options.site = taken(site);
-    options.order = taken(order);
-    options.host = taken(host);
-    options.request = taken(request);
+    options.control = from(take_string(control), "LIFTWEIR_CONTROL", options.control);
+    options.token = from(take_string(token), "LIFTWEIR_TOKEN", "");
+    options.site = take_string(site);
+    options.order = take_string(order);
+    options.host = take_string(host);
+    options.request = take_string(request);
     options.json = json != 0;
     options.follow = follow != 0;
     return run(options, words);
--- a/src/ctl/rpcclient.cpp
+++ b/src/ctl/rpcclient.cpp
@@ -1,3 +1,5 @@
+// HTTP and JSON-RPC calls of liftweirctl over libcurl.
+
 #include "ctl/rpcclient.h"
 
 #include <jsonrpccpp/client.h>
@@ -14,28 +16,28 @@
 
 } // namespace
 
-RpcAnswer call_rpc(const std::string& url, const std::string& token, long timeout_ms,
-                   const std::string& method, const Json::Value& params) {
-    RpcAnswer answer;
+RpcResponse call_rpc(const std::string& url, const std::string& token, long timeout_ms,
+                     const std::string& method, const Json::Value& params) {
+    RpcResponse response;
     try {
         jsonrpc::HttpClient connector(url);
         connector.AddHeader("Authorization", "Bearer " + token);
         connector.SetTimeout(timeout_ms);
         jsonrpc::Client client(connector, jsonrpc::JSONRPC_CLIENT_V2);
-        answer.result = client.CallMethod(method, params);
-        answer.kind = RpcAnswer::Kind::Result;
+        response.result = client.CallMethod(method, params);
+        response.kind = RpcResponse::Kind::Result;
     } catch (const jsonrpc::JsonRpcException& e) {
         const Json::Value data = e.GetData();
         const bool typed = data.isObject() && data["type"].isString();
-        answer.kind = typed ? RpcAnswer::Kind::Error : RpcAnswer::Kind::Unreachable;
-        answer.type = typed ? data["type"].asString() : "io";
-        answer.detail = typed ? data["detail"].asString() : e.what();
+        response.kind = typed ? RpcResponse::Kind::Error : RpcResponse::Kind::Unreachable;
+        response.type = typed ? data["type"].asString() : "io";
+        response.detail = typed ? data["detail"].asString() : e.what();
     }
-    return answer;
+    return response;
 }
 
-HttpAnswer http_get(const std::string& url, const std::string& token, long timeout_ms) {
-    HttpAnswer answer;
+HttpGetResponse http_get(const std::string& url, const std::string& token, long timeout_ms) {
+    HttpGetResponse response;
     CURL* easy = curl_easy_init();
     const std::string authorization = "Authorization: Bearer " + token;
     curl_slist* headers = curl_slist_append(nullptr, authorization.c_str());
@@ -44,10 +46,10 @@
     curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, timeout_ms);
     curl_easy_setopt(easy, CURLOPT_PROXY, "");
     curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, &append);
-    curl_easy_setopt(easy, CURLOPT_WRITEDATA, &answer.body);
+    curl_easy_setopt(easy, CURLOPT_WRITEDATA, &response.body);
     if (curl_easy_perform(easy) == CURLE_OK)
-        curl_easy_getinfo(easy, CURLINFO_RESPONSE_CODE, &answer.status);
+        curl_easy_getinfo(easy, CURLINFO_RESPONSE_CODE, &response.status);
     curl_slist_free_all(headers);
     curl_easy_cleanup(easy);
-    return answer;
+    return response;
 }
--- a/src/ctl/rpcclient.h
+++ b/src/ctl/rpcclient.h
@@ -5,25 +5,27 @@
 
 #include <string>
 
-// Calls the administration interface of one control host. Kept free of the JSON-RPC library's
-// own client header, which does not compile as C++17 or later.
+// HTTP and JSON-RPC calls of liftweirctl to one process. This header does not include the JSON-RPC
+// library's client header, which does not compile as C++17 or later.
 
-struct RpcAnswer {
+struct RpcResponse {
     enum class Kind : unsigned char { Result, Error, Unreachable };
     Kind kind = Kind::Unreachable;
     Json::Value result;
-    std::string type;   // of the error, as in FailureKind
-    std::string detail; // of the error
+    std::string type;   // error type: the name of a FailureKind
+    std::string detail; // error message
 };
 
-RpcAnswer call_rpc(const std::string& url, const std::string& token, long timeout_ms,
-                   const std::string& method, const Json::Value& params);
+// Calls a method of the administration interface of one control host.
+RpcResponse call_rpc(const std::string& url, const std::string& token, long timeout_ms,
+                     const std::string& method, const Json::Value& params);
 
-struct HttpAnswer {
-    long status = 0; // 0: not reached
+struct HttpGetResponse {
+    long status = 0; // 0: no response
     std::string body;
 };
 
-HttpAnswer http_get(const std::string& url, const std::string& token, long timeout_ms);
+// Fetches a URL, with the token as bearer token.
+HttpGetResponse http_get(const std::string& url, const std::string& token, long timeout_ms);
 
 #endif // RPCCLIENT_H_INCLUDED
--- a/src/ctl/session.h
+++ b/src/ctl/session.h
@@ -8,22 +8,22 @@
 
 namespace liftweir {
 
-// Exit codes of liftweirctl.
+// Exit codes of liftweirctl, the operators' command line tool.
 constexpr int CtlOk = 0;
-constexpr int CtlFailed = 1;      // the system refused the order
+constexpr int CtlFailed = 1;      // liftweir rejected the order
 constexpr int CtlUsage = 2;       // wrong command line or settings
-constexpr int CtlUnreachable = 3; // no control host that leads could be reached
-constexpr int CtlConflict = 4;    // somebody else changed the same version first
+constexpr int CtlUnreachable = 3; // the leader of the control hosts could not be reached
+constexpr int CtlConflict = 4;    // another operator changed the same version first
 
-// Connection of the operator's tool to whichever control host leads.
+// Sends the calls of liftweirctl to the control host that is the leader.
 class Session {
   public:
     Session(std::vector<std::string> control, std::string token, long timeout_ms)
         : control_(std::move(control)), token_(std::move(token)), timeout_ms_(timeout_ms) {}
 
-    // Tries the control hosts in turn until the leading one answers or the time is over. Safe to
-    // repeat: orders carry an id, and a resend gets the first answer.
-    RpcAnswer call(const std::string& method, const Json::Value& params);
+    // Tries the control hosts in turn until the leader answers or the timeout has passed. Retries
+    // are safe: each order carries an id, and a repeated order gets the response to the first one.
+    RpcResponse call(const std::string& method, const Json::Value& params);
     const std::vector<std::string>& control() const { return control_; }
 
   private:
@@ -33,7 +33,7 @@
     std::size_t next_ = 0;
 };
 
-int exit_code_of(const RpcAnswer& answer);
+int exit_code_of(const RpcResponse& response);
 
 } // namespace liftweir
 
--- a/src/ctl/timelineview.cpp
+++ b/src/ctl/timelineview.cpp
@@ -1,3 +1,5 @@
+// The command `liftweirctl timeline`: events of all processes in causal order.
+
 #include "ctl/timelineview.h"
 
 #include "process/clock.h"
@@ -14,10 +16,11 @@
 
 namespace {
 
-constexpr std::int64_t TicketMs = 3600 * 1000;
+constexpr std::int64_t TicketValidityMs = 3600 * 1000;
 constexpr long FetchTimeoutMs = 1500;
-constexpr auto FollowPause = std::chrono::milliseconds(500);
+constexpr auto FollowInterval = std::chrono::milliseconds(500);
 
+// One event with the key by which events are ordered.
 struct Row {
     std::int64_t ms = 0;
     unsigned counter = 0;
@@ -72,13 +75,15 @@
     std::cout << line << "\n";
 }
 
-// The fetch of one process; adds its rows and returns the sequence to go on from.
+// Fetches the events of one process that follow `since` and appends them to `rows`. Returns the
+// sequence number of the last event, or `since` where there is none. `problem` is set where the
+// process could not be reached or has overwritten events that were not fetched.
 std::uint64_t fetch(const std::string& name, const std::string& address, const std::string& ticket,
                     std::uint64_t since, std::vector<Row>& rows, std::string& problem) {
-    const HttpAnswer answer = http_get(
+    const HttpGetResponse response = http_get(
         "http://" + address + "/events?since=" + std::to_string(since), ticket, FetchTimeoutMs);
     const auto body =
-        answer.status == 200 ? parse_json(answer.body) : fail(FailureKind::Io, "not reached");
+        response.status == 200 ? parse_json(response.body) : fail(FailureKind::Io, "not reached");
     if (!body) {
         problem = name + " could not be reached at " + address;
         return since;
@@ -96,12 +101,12 @@
 } // namespace
 
 int show_timeline(Session& session, const TimelineFilter& filter) {
-    std::map<std::string, std::uint64_t> next;
+    std::map<std::string, std::uint64_t> last_sequence;
     while (true) {
         Json::Value params;
-        params["valid_ms"] = Json::Int64(TicketMs);
-        const RpcAnswer ticket = session.call("observe.ticket", params);
-        if (ticket.kind != RpcAnswer::Kind::Result) {
+        params["valid_ms"] = Json::Int64(TicketValidityMs);
+        const RpcResponse ticket = session.call("observe.ticket", params);
+        if (ticket.kind != RpcResponse::Kind::Result) {
             std::cerr << "liftweirctl: " << ticket.type << ": " << ticket.detail << "\n";
             return exit_code_of(ticket);
         }
@@ -109,8 +114,8 @@
         std::vector<std::string> problems;
         const auto collect = [&](const std::string& name, const std::string& address) {
             std::string problem;
-            next[address] = fetch(name, address, ticket.result["ticket"].asString(), next[address],
-                                  rows, problem);
+            last_sequence[address] = fetch(name, address, ticket.result["ticket"].asString(),
+                                           last_sequence[address], rows, problem);
             if (!problem.empty())
                 problems.push_back(problem);
         };
@@ -127,7 +132,7 @@
             std::cerr << "# " << problem << "\n";
         if (!filter.follow)
             return CtlOk;
-        std::this_thread::sleep_for(FollowPause);
+        std::this_thread::sleep_for(FollowInterval);
     }
 }
 
--- a/src/ctl/timelineview.h
+++ b/src/ctl/timelineview.h
@@ -9,9 +9,9 @@
 
 namespace liftweir {
 
-// What `liftweirctl timeline` shows.
+// Which events `liftweirctl timeline` shows, and in which form.
 struct TimelineFilter {
-    std::int64_t since_ms = 0; // wall time; 0 for everything
+    std::int64_t since_ms = 0; // wall time of the oldest event to show; 0 for all
     std::string host;
     std::uint64_t group = 0;
     std::string request;
@@ -19,8 +19,8 @@
     bool json = false;
 };
 
-// Collects the events of all processes, merges them by hybrid logical time, and says which
-// processes could not be reached or have lost events.
+// Collects the events of all processes, prints them in the order of their hybrid logical clocks,
+// and reports the processes that could not be reached or have lost events. Returns the exit code.
 int show_timeline(Session& session, const TimelineFilter& filter);
 
 } // namespace liftweir
--- a/src/ctl/why.cpp
+++ b/src/ctl/why.cpp
@@ -1,3 +1,5 @@
+// The command `liftweirctl why`: relates the logs of all processes to one request.
+
 #include "ctl/why.h"
 
 #include "ctl/session.h"
@@ -17,12 +19,14 @@
 
 namespace {
 
-// A cause shows before its effect by less than a control failover and a repair take together.
-constexpr std::int64_t BeforeMs = 4000;
-constexpr std::int64_t AfterMs = 300;
+// How far before the request, and after its end, a related line may be. A cause precedes its effect
+// by less than the duration of a failover of the control host and a group repair together.
+constexpr std::int64_t LookbackMs = 4000;
+constexpr std::int64_t LookaheadMs = 300;
 
-// What concerns every request of an entry host.
-constexpr std::array<std::string_view, 10> General = {
+// Messages that concern every request of the process that logged them. Changes of the leader and of
+// the voters concern the requests of all processes.
+constexpr std::array<std::string_view, 10> GlobalMessages = {
     "leads",
     "leads no more",
     "document in force",
@@ -39,22 +43,23 @@
     return found == line.fields.end() ? "" : found->second;
 }
 
-// An entry host's requests are named ENTRY-NUMBER-ATTEMPT, with 0 for the request as a whole: what
-// names one attempt of a request names the request. Other names stand for themselves.
-std::string stem(const std::string& request) {
+// The name of a request without its attempt. An entry host names requests ENTRY-NUMBER-ATTEMPT,
+// with attempt 0 for the request as a whole. A name in another form is returned unchanged.
+std::string without_attempt(const std::string& request) {
     const auto last = request.rfind('-');
     const bool numbers = request.find_first_not_of("0123456789-") == std::string::npos &&
                          std::count(request.begin(), request.end(), '-') == 2;
     return numbers ? request.substr(0, last) : request;
 }
 
-bool names(const LogLine& line, const std::string& request) {
+// Whether the line names the request or one of its attempts.
+bool names_request(const LogLine& line, const std::string& request) {
     const std::string named = field(line, "request");
-    return !named.empty() && stem(named) == stem(request);
+    return !named.empty() && without_attempt(named) == without_attempt(request);
 }
 
-// An endpoint is told of as NAME or NAME@START: reports of other writers and words of its other
-// starts concern whoever was called under the name.
+// Log lines name an endpoint NAME or NAME@START, where START is the start time of its process.
+// Lines about any incarnation count, and so do lines that name no incarnation.
 std::string name_of_endpoint(const std::string& endpoint) {
     return endpoint.substr(0, endpoint.find('@'));
 }
@@ -67,61 +72,65 @@
     return out;
 }
 
-// Whether the line tells of one of the endpoints, by either of the fields that name one.
-bool tells_of(const LogLine& line, const std::set<std::string>& endpoints) {
+// Whether the line concerns one of the endpoints, which the field `endpoint` or `id` names.
+bool names_any_of(const LogLine& line, const std::set<std::string>& endpoints) {
     return endpoints.contains(name_of_endpoint(field(line, "endpoint"))) ||
            endpoints.contains(name_of_endpoint(field(line, "id")));
 }
 
-// What the request touched: its endpoints, their groups, and the entry host that had it.
-struct Traces {
+// What a request involved: its endpoints, their groups, the processes that logged it, and the time
+// from its arrival to its last line, in milliseconds of wall time.
+struct RequestScope {
     std::set<std::string> endpoints;
     std::set<std::string> groups;
     std::set<std::string> processes;
-    std::int64_t from = 0;
-    std::int64_t to = 0;
+    std::int64_t from_ms = 0;
+    std::int64_t to_ms = 0;
 };
 
-Traces traces_of(const std::string& request, const std::vector<LogLine>& lines) {
-    Traces traces;
+RequestScope scope_of(const std::string& request, const std::vector<LogLine>& lines) {
+    RequestScope scope;
     for (const LogLine& line : lines) {
-        if (!names(line, request))
+        if (!names_request(line, request))
             continue;
         if (!field(line, "group").empty())
-            traces.groups.insert(field(line, "group"));
-        traces.processes.insert(line.process);
-        traces.endpoints.merge(names_in(field(line, "endpoints")));
+            scope.groups.insert(field(line, "group"));
+        scope.processes.insert(line.process);
+        scope.endpoints.merge(names_in(field(line, "endpoints")));
         if (!field(line, "endpoint").empty())
-            traces.endpoints.insert(name_of_endpoint(field(line, "endpoint")));
-        std::int64_t took = 0;
-        std::istringstream(field(line, "took_ms")) >> took;
-        traces.from = traces.from == 0 ? line.ms - took : std::min(traces.from, line.ms - took);
-        traces.to = std::max(traces.to, line.ms);
+            scope.endpoints.insert(name_of_endpoint(field(line, "endpoint")));
+        std::int64_t took_ms = 0;
+        std::istringstream(field(line, "took_ms")) >> took_ms;
+        scope.from_ms =
+            scope.from_ms == 0 ? line.ms - took_ms : std::min(scope.from_ms, line.ms - took_ms);
+        scope.to_ms = std::max(scope.to_ms, line.ms);
     }
     for (const LogLine& line : lines) {
-        const bool ours = tells_of(line, traces.endpoints);
-        const bool near = line.ms >= traces.from - BeforeMs && line.ms <= traces.to + AfterMs;
-        if (ours && near && !field(line, "group").empty())
-            traces.groups.insert(field(line, "group"));
+        const bool same_endpoint = names_any_of(line, scope.endpoints);
+        const bool in_window =
+            line.ms >= scope.from_ms - LookbackMs && line.ms <= scope.to_ms + LookaheadMs;
+        if (same_endpoint && in_window && !field(line, "group").empty())
+            scope.groups.insert(field(line, "group"));
     }
-    return traces;
+    return scope;
 }
 
-bool bears_on(const LogLine& line, const std::string& request, const Traces& traces) {
-    if (names(line, request))
+bool is_related(const LogLine& line, const std::string& request, const RequestScope& scope) {
+    if (names_request(line, request))
         return true;
-    if (line.ms < traces.from - BeforeMs || line.ms > traces.to + AfterMs ||
+    if (line.ms < scope.from_ms - LookbackMs || line.ms > scope.to_ms + LookaheadMs ||
         !field(line, "request").empty())
         return false;
-    if (tells_of(line, traces.endpoints) || traces.groups.contains(field(line, "group")))
+    if (names_any_of(line, scope.endpoints) || scope.groups.contains(field(line, "group")))
         return true;
     if (line.message == "layout")
-        return traces.endpoints.empty();
-    const bool general = std::find(General.begin(), General.end(), line.message) != General.end();
-    const bool of_other_entry = line.process != *traces.processes.begin() &&
-                                line.message != "leads" && line.message != "leads no more" &&
-                                line.message != "voters change";
-    return general && !of_other_entry;
+        return scope.endpoints.empty();
+    const bool is_global = std::find(GlobalMessages.begin(), GlobalMessages.end(), line.message) !=
+                           GlobalMessages.end();
+    const bool of_other_process = line.process != *scope.processes.begin() &&
+                                  line.message != "leads" && line.message != "leads no more" &&
+                                  line.message != "voters change";
+    return is_global && !of_other_process;
 }
 
 } // namespace
@@ -155,17 +164,17 @@
     return lines;
 }
 
-std::vector<LogLine> story_of(const std::string& request, std::vector<LogLine> lines) {
-    const Traces traces = traces_of(request, lines);
-    std::vector<LogLine> story;
-    if (traces.processes.empty())
-        return story;
+std::vector<LogLine> related_lines(const std::string& request, std::vector<LogLine> lines) {
+    const RequestScope scope = scope_of(request, lines);
+    std::vector<LogLine> related;
+    if (scope.processes.empty())
+        return related;
     for (LogLine& line : lines)
-        if (bears_on(line, request, traces))
-            story.push_back(std::move(line));
-    std::stable_sort(story.begin(), story.end(),
+        if (is_related(line, request, scope))
+            related.push_back(std::move(line));
+    std::stable_sort(related.begin(), related.end(),
                      [](const LogLine& a, const LogLine& b) { return a.ms < b.ms; });
-    return story;
+    return related;
 }
 
 int explain_request(const std::string& request, const std::vector<std::string>& files) {
@@ -181,13 +190,14 @@
         const auto parsed = parse_log(text.str());
         lines.insert(lines.end(), parsed.begin(), parsed.end());
     }
-    const auto story = story_of(request, std::move(lines));
-    if (story.empty()) {
+    const auto related = related_lines(request, std::move(lines));
+    if (related.empty()) {
         std::cerr << "liftweirctl: no line names the request " << request << "\n";
         return CtlFailed;
     }
-    for (const LogLine& line : story) {
-        std::cout << line.ms - story.front().ms << " ms  " << line.process << "  " << line.message;
+    for (const LogLine& line : related) {
+        std::cout << line.ms - related.front().ms << " ms  " << line.process << "  "
+                  << line.message;
         for (const auto& [name, value] : line.fields)
             if (name != "level" && !value.empty())
                 std::cout << "  " << name << "=" << value;
--- a/src/ctl/why.h
+++ b/src/ctl/why.h
@@ -8,7 +8,7 @@
 
 namespace liftweir {
 
-// One line of a process's log.
+// One line of a process's log (JSON).
 struct LogLine {
     std::int64_t ms = 0; // wall time of the process that wrote it
     std::string process;
@@ -18,16 +18,16 @@
     auto operator<=>(const LogLine&) const = default;
 };
 
-// Reads log lines; what stands before the JSON object of a line, and lines without one, are
-// skipped.
+// Parses log lines. Text before the JSON object of a line, and lines without one, are skipped.
 std::vector<LogLine> parse_log(const std::string& text);
 
-// The lines that bear on one request, in order of time: its own, those of the endpoints that had it
-// and their groups, and changes of leader, document and lease, from shortly before its arrival to
-// its end. Empty where no line names the request.
-std::vector<LogLine> story_of(const std::string& request, std::vector<LogLine> lines);
+// The lines that concern one request, in order of time: its own, those of the endpoints that worked
+// on it and of their groups, and changes of leader, document and lease, from shortly before its
+// arrival until shortly after its end. Empty where no line names the request.
+std::vector<LogLine> related_lines(const std::string& request, std::vector<LogLine> lines);
 
-// Prints the story of a request from log files. Returns the exit code.
+// The command `liftweirctl why`: prints the lines of the log files that concern a request. Returns
+// the exit code.
 int explain_request(const std::string& request, const std::vector<std::string>& files);
 
 } // namespace liftweir
--- a/tests/unit/why_test.cpp
+++ b/tests/unit/why_test.cpp
@@ -1,4 +1,4 @@
-// From a request's id to the cause of its end, with nothing but logs.
+// Finds the log lines that explain the outcome of a request, and bounds what a process logs.
 
 #include "ctl/why.h"
 #include "process/logging.h"
@@ -28,17 +28,17 @@
     "\"status\":\"0\",\"took_ms\":\"900\",\"why\":\"no attempt is left\"}\n";
 
 TEST(Why, JoinsTheLogsOfAllProcessesByRequestEndpointAndGroup) {
-    const auto story = story_of("r1", parse_log(Logs));
+    const auto related = related_lines("r1", parse_log(Logs));
     std::vector<std::string> messages;
-    for (const LogLine& line : story)
+    for (const LogLine& line : related)
         messages.push_back(line.message);
     EXPECT_EQ(messages, (std::vector<std::string>{"leads", "group suspected", "group dissolved",
                                                   "attempt ended", "call"}));
-    EXPECT_EQ(story[2].fields.at("why"), "member i-2 does not answer");
+    EXPECT_EQ(related[2].fields.at("why"), "member i-2 does not answer");
 }
 
-// Where agents run, each attempt has a name of its own.
-TEST(Why, AnAttemptNamesItsRequestAndItsGroup) {
+// In deployments with agents, each attempt of a request is logged as ENTRY-NUMBER-ATTEMPT.
+TEST(Why, AnAttemptIsRelatedToItsRequestAndItsGroup) {
     const std::string logs =
         "{\"ms\":100,\"process\":\"host-a1\",\"message\":\"endpoint_ended\",\"group\":\"10\","
         "\"request\":\"77-5-1\"}\n"
@@ -49,14 +49,15 @@
         "{\"ms\":120,\"process\":\"entry-1\",\"message\":\"request_failed\","
         "\"request\":\"77-5-0\"}\n";
     std::vector<std::string> messages;
-    for (const LogLine& line : story_of("77-5-0", parse_log(logs)))
+    for (const LogLine& line : related_lines("77-5-0", parse_log(logs)))
         messages.push_back(line.message);
     EXPECT_EQ(messages,
               (std::vector<std::string>{"endpoint_ended", "request_failed", "group_dissolved"}));
 }
 
-// Endpoints that tell their starts are named NAME@START; other writers' reports name them alone.
-TEST(Why, TellsOfAllStartsOfAnEndpointAndOfReportsUnderItsName) {
+// Endpoints that report their start time are logged as NAME@START. Rejected reports are logged
+// under the name alone.
+TEST(Why, RelatesAllIncarnationsOfAnEndpointAndReportsUnderItsName) {
     const std::string logs =
         "{\"ms\":900,\"process\":\"core\",\"message\":\"endpoint\",\"id\":\"i-1@1700\"}\n"
         "{\"ms\":950,\"process\":\"core\",\"message\":\"report refused\",\"endpoint\":\"i-1\","
@@ -65,17 +66,17 @@
         "{\"ms\":1000,\"process\":\"e1\",\"message\":\"call\",\"request\":\"r1\","
         "\"endpoints\":\"i-1@1800\",\"status\":\"502\",\"took_ms\":\"90\"}\n";
     std::vector<std::string> messages;
-    for (const LogLine& line : story_of("r1", parse_log(logs)))
+    for (const LogLine& line : related_lines("r1", parse_log(logs)))
         messages.push_back(line.message);
     EXPECT_EQ(messages, (std::vector<std::string>{"endpoint", "report refused", "call"}));
 }
 
-TEST(Why, SaysNothingOfAnUnknownRequest) {
-    EXPECT_TRUE(story_of("nobody", parse_log(Logs)).empty());
+TEST(Why, FindsNothingForAnUnknownRequest) {
+    EXPECT_TRUE(related_lines("nobody", parse_log(Logs)).empty());
     EXPECT_TRUE(parse_log("garbage {\n{]").empty());
 }
 
-TEST(LogBudget, BoundsLinesInEverySecondAndCountsTheRest) {
+TEST(LogBudget, BoundsLinesPerSecondAndCountsDroppedLines) {
     LogBudget budget(3);
     int taken = 0;
     for (int i = 0; i < 10; ++i)
@@ -89,8 +90,8 @@
     EXPECT_FALSE(budget.has_dropped());
 }
 
-// A reader that stops must not stop the process.
-TEST(Logging, AFullPipeDropsLinesInsteadOfWaiting) {
+// A reader of the log that stops reading must not block the process.
+TEST(Logging, AFullPipeDropsLinesInsteadOfBlocking) {
     int ends[2];
     ASSERT_EQ(pipe(ends), 0);
     const std::string line(1000, 'x');
