--- a/tests/unit/workers_test.cpp
+++ b/tests/unit/workers_test.cpp
@@ -75,7 +75,7 @@
         io, asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)};
     std::vector<Socket> sockets;
     EndpointId endpoint_id = "i-1";
-    std::string body = "ok"; // of each answer
+    std::string body = "ok"; // of each response
     HttpEndpointOrders orders{io};
 };
 
