--- a/src/process/admin.cpp
+++ b/src/process/admin.cpp
@@ -1,3 +1,8 @@
+// Run by liftweir-control: the administration interface, JSON-RPC 2.0 over HTTP at /admin.
+// libjsonrpccpp declares and checks the procedures and names the errors. Its own server has to
+// answer before the call returns, which a change that waits for a majority can not, so the methods
+// are dispatched here.
+
 #include "connection/ticket.h"
 #include "process/control.h"
 #include "process/metrics.h"
@@ -10,10 +15,6 @@
 #include <algorithm>
 #include <functional>
 
-// The administration interface: JSON-RPC 2.0 over HTTP at /admin. libjsonrpccpp declares and
-// checks the procedures and names the errors; its own server answers before the call returns,
-// which a change that waits for a majority can not, so dispatch is done here.
-
 namespace liftweir {
 
 namespace {
@@ -31,7 +32,7 @@
 struct Operator {
     std::string name;
     Role role = Role::Viewer;
-    std::string scope; // level of the tree; empty for the whole
+    std::string scope; // path in the settings tree; empty for the whole tree
 
     bool covers(const std::string& path) const {
         return scope.empty() || path == scope || path.starts_with(scope + "/");
@@ -52,7 +53,7 @@
 struct Method {
     Procedure procedure;
     Role role;
-    bool read; // answered after the replica has confirmed that it leads
+    bool read; // run only after the replica has confirmed that it leads
     std::function<void(const Request&)> run;
 };
 
@@ -85,7 +86,7 @@
     return fail(FailureKind::Forbidden, "the token is not good for " + path);
 }
 
-// Answer of an operator's order: what the log said.
+// Answers an operator's command with the result that the log entry had when it was applied.
 void answer_order(const Request& r, const Expected<ApplyResult>& result) {
     if (!result) {
         r.reply(tl::make_unexpected(result.error()));
@@ -164,7 +165,7 @@
     r.reply(out);
 }
 
-// Answers only when no entry host can act on the settings before it any more.
+// Answers only once no entry host can act on the previous settings any more.
 void settings_set(const Request& r) {
     ChangeSettings command;
     command.order = r.text("order");
@@ -324,7 +325,7 @@
                       [r](const Expected<ApplyResult>& result) { answer_order(r, result); });
 }
 
-// ---- once, status, voters
+// ---- idempotency keys, status, voters
 
 std::string_view name_of(ClaimPhase phase) {
     constexpr std::string_view Names[] = {"running", "completed", "unknown"};
@@ -397,7 +398,7 @@
                              [r](const Expected<ApplyResult>& result) { answer_order(r, result); });
 }
 
-// Where each process answers /events and /metrics, and a ticket for them.
+// Lists the addresses at which the processes serve /events and /metrics, with a ticket for them.
 void observe_ticket(const Request& r) {
     constexpr std::int64_t LongestTicketMs = 400LL * 24 * 3600 * 1000;
     const std::int64_t ms = std::min(r.params["valid_ms"].asInt64(), LongestTicketMs);
@@ -475,7 +476,7 @@
     return table;
 }
 
-// ---- envelope
+// ---- JSON-RPC requests and responses
 
 Json::Value rpc_error(int code, const Failure& failure) {
     Json::Value error;
@@ -495,7 +496,7 @@
     respond_json(exchange, 200, to_text(out));
 }
 
-// Application errors use the range that JSON-RPC leaves to servers.
+// Application errors use the code range that JSON-RPC reserves for servers.
 constexpr int ApplicationError = -32000;
 
 void respond_failure(HttpExchange& exchange, const Json::Value& id, int code,
--- a/src/process/agent.cpp
+++ b/src/process/agent.cpp
@@ -1,3 +1,6 @@
+// Run by liftweir-agent: start and shutdown, orders of the control hosts, and pings between the
+// members of a group.
+
 #include "process/agent.h"
 
 #include "connection/codec.h"
@@ -14,15 +17,18 @@
 namespace {
 
 constexpr Duration TickEvery = std::chrono::milliseconds(25);
-// The loop is never blocked for so long by itself: the process was paused.
+// The event loop never blocks for this long by itself: a longer gap between two ticks means that
+// the process was paused.
 constexpr Duration PauseSuspected = std::chrono::milliseconds(400);
 constexpr Duration ReportEvery = std::chrono::milliseconds(500);
-// A control host that does not answer for this long is not asked any longer.
+// The agent turns to the next control host when the present one has not answered for this long.
 constexpr Duration ControlSilence = std::chrono::milliseconds(1200);
 constexpr Duration ResetPause = std::chrono::milliseconds(500);
-// An engine that starts together with its agent is not there for the first ones.
+// Failed resets before the agent logs a warning. An engine that starts together with its agent is
+// not reachable for the first ones.
 constexpr int ResetsUntilTold = 5;
-// Tables of entry hosts follow a leaving notice within this time; refusals cover the rest.
+// Entry hosts take this host out of their routing tables within this time after its shutdown
+// notice. Attempts that still arrive later are rejected.
 constexpr Duration LeavingGrace = std::chrono::milliseconds(1500);
 constexpr Duration LeavingDeadline = std::chrono::seconds(120);
 constexpr std::size_t DatagramBytes = 512;
@@ -105,8 +111,8 @@
     reset_endpoint();
 }
 
-// Until the engine is empty the host is not reported to control, so nobody but this process can
-// say why it is missing.
+// The host reports to control only once its engine is empty. Until then only this log shows why the
+// host is missing.
 void Agent::reset_endpoint() {
     endpoint_->reset([this](bool ok) {
         endpoint_reset_ = ok;
@@ -137,8 +143,8 @@
     maybe_stop();
 }
 
-// After a pause everything that rested on time is void. The gate sees that by itself, since the
-// boot clock went on; what has to go at once is the work that the pause outlived.
+// After a pause all time limits may have passed. The gate notices that by itself, since the boot
+// clock runs on during the pause. Here the pause is logged and the next report is sent at once.
 void Agent::check_pause(Time now) {
     const Duration gap = now - std::exchange(last_tick_, now);
     if (gap < PauseSuspected)
@@ -165,7 +171,7 @@
         record({.kind = EventKind::GateClosed,
                 .host = config_.name,
                 .group = gate_ ? gate_->assignment().epoch : fence_,
-                .cause = missing.empty() ? "released" : "no echo from " + missing});
+                .cause = missing.empty() ? "released" : "no ping reply from " + missing});
         break_all(FailureKind::EndpointFailed);
     }
     tell_gate();
@@ -176,7 +182,7 @@
     if (std::exchange(leaving_, true)) {
         record({.kind = EventKind::ProcessStopped,
                 .host = config_.name,
-                .detail = std::to_string(in_flight()) + " in flight were cut",
+                .detail = std::to_string(in_flight()) + " in flight were aborted",
                 .cause = "second signal"});
         io_.stop();
         return;
@@ -201,11 +207,11 @@
         return;
     record({.kind = EventKind::ProcessStopped,
             .host = config_.name,
-            .detail = late ? std::to_string(in_flight()) + " in flight were cut" : "drained"});
+            .detail = late ? std::to_string(in_flight()) + " in flight were aborted" : "drained"});
     io_.stop();
 }
 
-// ---- control
+// ---- control hosts
 
 AgentStatus Agent::status() const {
     AgentStatus s;
@@ -248,7 +254,7 @@
             report_due_ = {};
         current_ = next;
     } else if (const auto* order = std::get_if<AgentOrder>(&message)) {
-        // An order of a deposed leader that did not yet notice is older than what was obeyed.
+        // A lower term comes from a deposed leader that has not noticed yet.
         if (order->term < term_)
             return;
         term_ = order->term;
@@ -271,11 +277,11 @@
     }
 }
 
-// An epoch that was released, or one below it, is never taken again: an order for it was delayed.
+// A released epoch, or a lower one, is never held again: an order for it was delayed.
 void Agent::hold(const Assignment& assignment) {
     if (assignment.epoch <= fence_ || phase_ == AgentPhase::Releasing || endpoint_gone_)
         return;
-    // Meant for a process that ran here before: this incarnation was never part of the group.
+    // An assignment without this incarnation is meant for an earlier process of this host.
     const auto own = [this](const Member& member) {
         return member.host == config_.name && member.incarnation == identity_.incarnation;
     };
@@ -326,7 +332,7 @@
     });
 }
 
-// From here on no ping of this group is echoed and nothing is forwarded for it.
+// From here on the agent answers no ping of this group and forwards no attempt for it.
 void Agent::drop_group(Epoch fence, const std::string& cause) {
     const Epoch held = gate_ ? gate_->assignment().epoch : NoEpoch;
     fence_ = std::max(fence_, fence);
@@ -347,7 +353,7 @@
     report_due_ = {};
 }
 
-// ---- members
+// ---- pings between the members of a group
 
 void Agent::send_datagram(const std::string& address, const Datagram& datagram) {
     const auto to = parse_address(address);
--- a/src/process/agent.h
+++ b/src/process/agent.h
@@ -1,3 +1,7 @@
+// Run by liftweir-agent: the admission check in front of one endpoint. The agent holds at most one
+// serving group, forwards attempts of entry hosts to its endpoint and watches the endpoint's
+// process.
+
 #ifndef AGENT_H_INCLUDED
 #define AGENT_H_INCLUDED
 
@@ -20,15 +24,16 @@
 
 namespace liftweir {
 
-// The agent program: the gate before one endpoint. Holds at most one group, obeys only the
-// leading control host, and tells "not run" only of work that its endpoint never saw.
+// Obeys only the leading control host. Reports an attempt as "not run" only where the endpoint
+// never received it.
 class Agent {
   public:
     Agent(asio::io_context& io, const ProcessConfig& config);
     ~Agent();
 
     void start();
-    // First call: takes no new work, finishes what runs, then stops the loop. Second: cuts.
+    // The first call admits no new attempts, finishes the running ones and then stops the event
+    // loop. The second call stops it at once.
     void leave();
 
   private:
@@ -42,13 +47,14 @@
         std::unique_ptr<Relay> relay;
     };
 
-    // A started attempt that its endpoint broke off; what is told of it waits for a probe.
+    // A started attempt that failed at the endpoint. The entry host is notified after a probe has
+    // shown whether the endpoint's process is still there.
     struct Failed {
         AttemptId id;
         Link::Ptr link;
         Time started{};
         FailureKind kind = FailureKind::EndpointFailed;
-        bool probed = false; // the probe under way was sent after the failure
+        bool probed = false; // the probe in flight was sent after the failure
     };
 
     static constexpr std::size_t DefaultSlots = 32;
@@ -60,7 +66,7 @@
     void check_gate(Time now);
     void maybe_stop();
 
-    // control
+    // control hosts
     void report();
     void on_control(std::size_t index, WireMessage&& message);
     void on_order(const AgentOrder& order);
@@ -78,7 +84,7 @@
     void await_endpoint();
     void on_endpoint_back();
 
-    // members
+    // pings between the members of a group
     void receive_datagram();
     void send_datagram(const std::string& address, const Datagram& datagram);
 
@@ -109,8 +115,8 @@
     std::unique_ptr<Endpoint> endpoint_;
     std::vector<std::unique_ptr<Dialer>> control_;
     std::vector<NodeId> control_nodes_;
-    std::size_t current_ = 0; // control host that is believed to lead
-    Time heard_{};            // last answer of a leading control host
+    std::size_t current_ = 0; // index of the control host that is believed to lead
+    Time heard_{};            // time of the last order from a leading control host
     Time report_due_{};
     Term term_ = 0;
     bool registered_ = false;
@@ -135,12 +141,12 @@
 
     std::vector<Failed> failed_;
     bool probing_ = false;
-    bool endpoint_gone_ = false; // its process ended and does not answer yet
+    bool endpoint_gone_ = false; // the endpoint's process ended and does not answer yet
     Time probe_due_{};
 
     FairQueue queue_;
     std::map<AttemptId, std::unique_ptr<Work>> work_;
-    // Attempts that were seen or cancelled: a late copy of one of them must not start.
+    // Ids of received and cancelled attempts: a delayed copy of one of them must not start.
     std::set<AttemptId> seen_;
     std::deque<AttemptId> seen_order_;
 };
--- a/src/process/agentloss.cpp
+++ b/src/process/agentloss.cpp
@@ -1,22 +1,23 @@
+// Run by liftweir-agent: watches the endpoint's process. The gate rests on ping replies of the
+// members' agents, which say nothing of the processes beside them: without this watch a lead whose
+// engine had ended would admit, and fail, every request.
+
 #include "process/agent.h"
 
 #include "process/timeline.h"
 
 #include <algorithm>
 
-// The agent's watch over its endpoint's process. The gate rests on the members' echoes, which say
-// nothing of the processes beside them: without this watch a lead whose engine had ended went on
-// to take, and break, every request.
-
 namespace liftweir {
 
 namespace {
 
-// An endpoint that ends without a request is noticed within this time; one that ends on a request
-// at once, by the attempt's failure. Two loopback calls each time.
+// The end of an idle endpoint is noticed within this time. The end of a busy one is noticed at
+// once, since an attempt fails. Each probe costs two calls over the loopback interface.
 constexpr Duration WatchEvery = std::chrono::milliseconds(500);
-// What ends an engine mostly does so when it is read or prefilled. Older attempts are held innocent
-// where others were there too, so that the loss of an engine does not cut long streams for good.
+// A request that crashes its engine mostly does so while it is parsed or prefilled. Where several
+// attempts were running, those older than this are not suspected, so that a crash does not end long
+// streams for good.
 constexpr Duration SuspectFor = std::chrono::seconds(2);
 constexpr Duration ReturnPoll = std::chrono::milliseconds(250);
 
@@ -50,10 +51,11 @@
     else
         settle_failed(false);
     if (!failed_.empty())
-        probe_endpoint(); // they failed after the probe was sent
+        probe_endpoint(); // for attempts that failed after the last probe was sent
 }
 
-// The endpoint is there: these attempts failed by themselves.
+// Reports attempts as failed by themselves, after a probe has found the endpoint's process alive.
+// With `all`, also reports those that no probe has covered yet.
 void Agent::settle_failed(bool all) {
     std::vector<Failed> later;
     for (Failed& failed : std::exchange(failed_, {})) {
@@ -65,8 +67,8 @@
     failed_ = std::move(later);
 }
 
-// Everything that the process had is lost with it, and any of it may be why. The group goes at
-// once: its other members can not do this host's part.
+// Fails all attempts that were running in the process, since any of them may be the cause. The
+// group is released at once: its other members can not do this host's part.
 void Agent::endpoint_ended() {
     const Time now = BootClock::now();
     const Epoch epoch = gate_ ? gate_->assignment().epoch : NoEpoch;
@@ -87,8 +89,8 @@
                 .host = config_.name,
                 .group = epoch,
                 .request = to_text(failed.id),
-                .detail = std::to_string(lost.size()) + " attempts were in it",
-                .cause = suspect ? "perhaps this request" : ""});
+                .detail = std::to_string(lost.size()) + " attempts were running",
+                .cause = suspect ? "possibly this request" : ""});
     }
     if (lost.empty())
         record({.kind = EventKind::EndpointEnded, .host = config_.name, .group = epoch});
@@ -100,8 +102,8 @@
     await_endpoint();
 }
 
-// An engine comes back empty, but what it was told last may still be on its way: it is read back
-// and emptied as after a restart of the agent, and only then may a group use the host.
+// An engine starts empty, but the last load order may still be in flight to it. So the engine is
+// reset as after a restart of the agent before a group may use the host again.
 void Agent::await_endpoint() {
     const auto again = [this] {
         const auto timer = std::make_shared<asio::steady_timer>(io_, ReturnPoll);
--- a/src/process/agentwork.cpp
+++ b/src/process/agentwork.cpp
@@ -1,18 +1,19 @@
+// Run by liftweir-agent: receives attempts from entry hosts, queues them, forwards them to the
+// endpoint and sends the answers back.
+
 #include "process/agent.h"
 
 #include "process/metrics.h"
 
 #include <algorithm>
 
-// The agent's side towards entry hosts: attempts, their queue and their answers.
-
 namespace liftweir {
 
 namespace {
 
 constexpr std::size_t SeenKept = 200000;
 
-// Expected work of an attempt, in tokens where it says how many.
+// Expected work of an attempt: its tokens where the entry host gave a hint, else 1.
 double cost_of(const Attempt& attempt) {
     return std::max(1.0, static_cast<double>(attempt.expected_tokens));
 }
@@ -53,8 +54,9 @@
         on_credit(*credit);
 }
 
-// Nobody is left to read the answers. Calls that may not be repeated run to their end: the
-// endpoint has them, and cutting them would only make their outcome less certain.
+// The answers can not be delivered any more. Running calls that must not be repeated go on to their
+// end: the endpoint already has them, and a cancellation would only make their outcome less
+// certain.
 void Agent::on_entry_down(const Link::Ptr& link) {
     entries_.erase(link);
     std::vector<AttemptId> orphans;
@@ -142,7 +144,7 @@
 void Agent::start_waiting() {
     std::vector<QueueItem> expired;
     while (true) {
-        // The gate is asked again right before each forward: time passed in the queue.
+        // The gate is checked again right before each forward, since time has passed in the queue.
         if (config_.service.empty() && queue_.waiting() > 0 &&
             (!gate_ || !gate_->open(BootClock::now())))
             break;
@@ -184,7 +186,7 @@
     callbacks.on_head = [with_work, id](int status, const std::string& type) {
         with_work([&](Work& w) {
             w.link->send(Head{id, static_cast<std::uint32_t>(status), type});
-            // An error is answered as plain JSON even where a stream was asked for.
+            // Endpoints answer errors as plain JSON even where the request asked for a stream.
             if (type.find("event-stream") == std::string::npos && w.attempt.streamed)
                 w.relay = std::make_unique<Relay>(id, false, 0, w.attempt.window);
         });
@@ -233,7 +235,7 @@
     start_waiting();
 }
 
-// Leaves a tombstone: a copy of the attempt that arrives later does not start.
+// Keeps the id as a tombstone, so that a copy of the attempt that arrives later does not start.
 void Agent::on_cancel(const AttemptId& id) {
     remember(id);
     const auto found = work_.find(id);
--- a/src/process/control.cpp
+++ b/src/process/control.cpp
@@ -1,3 +1,5 @@
+// Run by liftweir-control: timers, messages of agents and entry hosts, and what is sent to them.
+
 #include "process/control.h"
 
 #include "connection/codec.h"
@@ -14,8 +16,9 @@
 constexpr Duration TickEvery = std::chrono::milliseconds(20);
 constexpr Duration PlanEvery = std::chrono::milliseconds(100);
 constexpr Duration ExpireEvery = std::chrono::seconds(60);
-// An entry host that no heartbeat came from for so long is retired. Its claims become unknown,
-// which a late answer mends, so the limit only has to be longer than a pause.
+// An entry host is retired when it has sent no lease renewal for this long. The outcome of its
+// claims then counts as unknown until a late answer corrects it, so the limit only has to exceed a
+// pause of the process.
 constexpr Duration RetireAfter = std::chrono::seconds(15);
 constexpr std::int64_t MillisPerHour = 3600 * 1000;
 
@@ -98,7 +101,7 @@
     }
 }
 
-// Work of one turn of the loop shares one sync: this is the group commit.
+// Group commit: all proposals of one turn of the event loop share one sync to disk.
 void Control::pump_soon() {
     if (std::exchange(pump_posted_, true))
         return;
@@ -111,7 +114,7 @@
 void Control::pump() {
     const auto messages = replica_->pump();
     if (!messages) {
-        // Going on after a failed sync could acknowledge what the disk never kept.
+        // After a failed sync the process might acknowledge entries that never reached the disk.
         log(LogLevel::Error, "storage failed; the process stops",
             {{"failure", std::string(name_of(messages.error().kind))},
              {"detail", messages.error().detail}});
@@ -164,7 +167,8 @@
     return placement_cache_;
 }
 
-// The next plan waits until the last one is applied, so that no command is given twice.
+// A new plan waits until all commands of the last one are applied, so that no command is proposed
+// twice.
 void Control::plan() {
     if (planned_open_ > 0)
         return;
@@ -269,7 +273,8 @@
     }
 }
 
-// Whoever is subscribed learns of a change at once; renewals only mend what got lost.
+// Sends changes at once to the entry hosts that asked this control host for them. Renewals only
+// make up for lost messages.
 void Control::push_tables() {
     const State& state = replica_->state();
     if (state.table_version() == pushed_table_ && state.lease_version() == pushed_lease_)
@@ -299,7 +304,7 @@
         const bool releases = order.fence > session.status.fence || session.status.held != NoEpoch;
         if (!order.has_assignment && (order.fence == NoEpoch || !releases))
             continue;
-        // Told once; the next status tells whether it was heard.
+        // Sent once: the agent's next status shows whether the order arrived.
         session.status.held = order.has_assignment ? order.assignment.epoch : NoEpoch;
         session.status.fence = std::max(session.status.fence, order.fence);
         session.status.phase = order.has_assignment && order.assignment.draining
@@ -367,7 +372,7 @@
             });
 }
 
-// What the agent should hold, said only where it differs from what it says it holds.
+// The order names the group that the agent should hold, but only where the agent's status differs.
 AgentOrder Control::order_for(const Host& host, const AgentStatus& status) const {
     const State& state = replica_->state();
     AgentOrder order;
@@ -416,7 +421,8 @@
     return lease_ack;
 }
 
-// Every control host vouches, leading or not: an entry host needs a majority, not a leader.
+// Every control host acknowledges renewals, whether it leads or not: an entry host needs a
+// majority, not a leader.
 void Control::on_renew(const Link::Ptr& link, const LeaseRenewal& renew) {
     if (link->peer().role != ProcessRole::Entry || link->peer().name != renew.entry)
         return;
@@ -432,7 +438,8 @@
     }
 }
 
-// Entry hosts may claim and register; everything else is the operators' or the planner's.
+// Entry hosts may only claim idempotency keys and register themselves. All other commands come from
+// operators and the planner.
 void Control::on_command(const Link::Ptr& link, const CommandRequest& request) {
     const auto command = decode<Command>(request.command);
     CommandReply reply;
--- a/src/process/control.h
+++ b/src/process/control.h
@@ -1,3 +1,6 @@
+// Run by liftweir-control: the event loop of a control host. It drives one replica of the
+// replicated log and, while that replica leads, the planner of the serving groups.
+
 #ifndef CONTROL_H_INCLUDED
 #define CONTROL_H_INCLUDED
 
@@ -17,11 +20,10 @@
 
 namespace liftweir {
 
-// The control program: drives one replica and, while it leads, the planner. Single-threaded; all
-// decisions are in the state machines that it drives.
+// Single-threaded. All decisions are made in the state machines that it drives.
 class Control {
   public:
-    // Fails with Damaged or Storage.
+    // Opens the data directory and the replica in it. Fails with Damaged or Storage.
     static Expected<std::unique_ptr<Control>> open(asio::io_context& io,
                                                    const ProcessConfig& config);
     ~Control();
@@ -29,7 +31,7 @@
     void start();
     void stop();
 
-    // For the administration interface.
+    // Used by the administration interface.
     Replica& replica() { return *replica_; }
     const PlacementPlanner& planner() const { return planner_; }
     const ProcessConfig& config() const { return config_; }
@@ -39,7 +41,7 @@
     void propose(const Command& command, Replica::Answer answer);
     void propose_voters(const Voters& voters, Replica::Answer answer);
     void read(Replica::ReadAnswer answer);
-    // Calls back once the settings version is in force at every entry host.
+    // Calls `done` once the settings version is in force at every entry host.
     void when_in_force(Version version, std::function<void()> done);
     void pump_soon();
     Time now() const { return BootClock::now(); }
@@ -97,7 +99,7 @@
     Ticker ticker_;
     bool pump_posted_ = false;
     bool led_ = false;
-    std::size_t planned_open_ = 0; // planner commands that are not yet applied
+    std::size_t planned_open_ = 0; // commands of the planner that are not applied yet
     Version pushed_table_ = 0;
     Version pushed_lease_ = 0;
     Version ordered_table_ = 0;
@@ -105,7 +107,7 @@
     Time expire_due_{};
 };
 
-// Serves the administration interface of a control host.
+// Returns the handler of the administration interface (admin.cpp).
 HttpHandler admin_handler(Control& control);
 
 } // namespace liftweir
--- a/src/process/entry.cpp
+++ b/src/process/entry.cpp
@@ -1,3 +1,5 @@
+// Run by liftweir-entry: lease renewals, commands to the control hosts, and the shutdown.
+
 #include "process/entry.h"
 
 #include "connection/codec.h"
@@ -14,13 +16,13 @@
 namespace {
 
 constexpr Duration TickEvery = std::chrono::milliseconds(25);
-// Three questions fit into one lease, so that one lost answer does not end it.
+// Three renewals fit into one lease, so that one lost answer does not end it.
 constexpr Duration RenewEvery = std::chrono::milliseconds(320);
 constexpr Duration ResendEvery = std::chrono::milliseconds(300);
-// What must be told to control is repeated for so long; later the retirement of this entry host
-// or the claims' window settles it.
+// A command without a reply is sent again for this long. After that, the retirement of this entry
+// host or the window of the claims decides the outcome.
 constexpr Duration ResendFor = std::chrono::minutes(10);
-// The balancer sees "not ready" within this time and sends no more.
+// Within this time the load balancer reads "not ready" and sends no more requests.
 constexpr Duration LeavingGrace = std::chrono::seconds(2);
 constexpr Duration LeavingDeadline = std::chrono::seconds(120);
 
@@ -107,8 +109,8 @@
     return nullptr;
 }
 
-// Every control host is asked for its word; only one of them for changes, so that a change
-// crosses the link once.
+// The renewal goes to all control hosts, but only one of them is asked for changes, so that each
+// change is sent once.
 void Entry::renew(Time now) {
     renew_due_ = now + RenewEvery;
     const Dialer* source = control_to_ask();
@@ -132,7 +134,7 @@
     if (lease_ack.has_delta && builder_.apply(lease_ack.delta))
         publish();
     lease_.on_lease_ack(lease_ack, builder_.lease_version(), BootClock::now());
-    // The lease is extended only after the tables that it vouches for are published.
+    // The lease is extended only after the tables that it covers are published.
     shared_.lease_until.store(lease_.valid_until().time_since_epoch().count(),
                               std::memory_order_release);
     note_lease(BootClock::now());
@@ -155,7 +157,7 @@
     set_log_level(table->log_level);
     for (const auto& shard : shards_)
         shard->table_changed();
-    // Tell control at once: a change is in force when every entry host has said so.
+    // Renew at once: a change is in force when every entry host has acknowledged it.
     renew_due_ = {};
 }
 
@@ -185,7 +187,7 @@
         dialer->send(CommandRequest{id, encode(pending.command)});
 }
 
-// Every command of an entry host is idempotent, so it is simply asked again.
+// Every command of an entry host is idempotent, so it can be sent again.
 void Entry::resend_pending(Time now) {
     for (auto it = pending_.begin(); it != pending_.end();) {
         Pending& pending = it->second;
@@ -205,7 +207,7 @@
         return;
     const bool no_leader = !reply.ok && (reply.failure == FailureKind::NotLeader ||
                                          reply.failure == FailureKind::NoQuorum);
-    // The call's own timer decides how long this is worth waiting for.
+    // The command stays pending; the timer of the call that waits for it limits the wait.
     if (no_leader) {
         leader_ = static_cast<NodeId>(std::atoi(reply.detail.c_str()));
         return;
@@ -222,12 +224,13 @@
     if (shared_.leaving.load()) {
         record({.kind = EventKind::ProcessStopped,
                 .host = shared_.config.name,
-                .detail = std::to_string(shared_.calls.load()) + " in flight were cut",
+                .detail = std::to_string(shared_.calls.load()) + " in flight were aborted",
                 .cause = "second signal"});
         io_.stop();
         return;
     }
-    // Readiness goes first; new requests are still served until the balancer has noticed.
+    // Only the readiness probe fails at first: new requests are served until the load balancer has
+    // stopped sending them.
     leaving_since_ = BootClock::now();
     record({.kind = EventKind::ProcessDraining, .host = shared_.config.name});
     shared_.leaving.store(true);
@@ -250,8 +253,8 @@
         return;
     record({.kind = EventKind::ProcessStopped,
             .host = shared_.config.name,
-            .detail =
-                late ? std::to_string(shared_.calls.load()) + " in flight were cut" : "drained"});
+            .detail = late ? std::to_string(shared_.calls.load()) + " in flight were aborted"
+                           : "drained"});
     io_.stop();
 }
 
--- a/src/process/entry.h
+++ b/src/process/entry.h
@@ -1,3 +1,6 @@
+// Run by liftweir-entry: its main thread, which renews the settings lease with the control hosts,
+// sends commands to them and publishes routing tables. The shards serve callers in their threads.
+
 #ifndef ENTRY_H_INCLUDED
 #define ENTRY_H_INCLUDED
 
@@ -13,21 +16,20 @@
 
 namespace liftweir {
 
-// The entry program: one thread that talks to control and publishes tables, and the shards that
-// serve callers.
 class Entry {
   public:
     Entry(asio::io_context& io, const ProcessConfig& config);
     ~Entry();
 
     void start();
-    // First call: not ready, finishes streams, then stops the loop. Second: cuts.
+    // The first call reports "not ready", finishes the streams and then stops the event loop. The
+    // second call stops it at once.
     void leave();
 
   private:
     struct Pending {
         Command command;
-        EntryShared::CommandAnswer answer; // null: repeated until control has it
+        EntryShared::CommandAnswer answer; // null where nothing waits for the reply
         Time first_sent{};
         Time sent{};
     };
