--- a/src/process/coordinator.cpp
+++ b/src/process/coordinator.cpp
@@ -1,3 +1,6 @@
+// Run by liftweir-site-control: storage, the replicated log, its voters, and the operators'
+// document.
+
 #include "process/coordinator.h"
 
 #include "connection/codec.h"
@@ -12,15 +15,15 @@
 
 namespace {
 
-// Half of the raft heartbeat: finer ticks only cost wake-ups on hosts that share a core.
+// Half of the Raft heartbeat interval. Finer ticks only cost wake-ups on hosts that share a core.
 constexpr Duration TickEvery = std::chrono::milliseconds(50);
 constexpr Duration SecondlyEvery = std::chrono::milliseconds(1000);
-// A full or failing disk is tried again; the log is read anew from it, as after a restart.
+// A full or failing disk is retried this often. The log is then read from it as after a restart.
 constexpr Duration ReopenEvery = std::chrono::milliseconds(700);
-// The system may have fewer control hosts than the tolerance asks for. After this long a leader
-// acknowledges on the disks that there are.
+// The system may have fewer control hosts than the tolerated failures require. After this long a
+// leader requires no more copies of a document than there are voters.
 constexpr Duration FewVotersPatience = std::chrono::seconds(3);
-// An election costs service here: entry hosts that start have no settings until there is a leader.
+// An election costs availability: entry hosts that start get no settings until there is a leader.
 // The timeouts cover a round trip between zones, a sync and a lost packet.
 constexpr RaftTuning Tuning{.heartbeat = std::chrono::milliseconds(100),
                             .election_min = std::chrono::milliseconds(350),
@@ -65,10 +68,10 @@
     return coordinator;
 }
 
-// ---- storage and log
+// ---- storage and replicated log
 
-// A data folder that fails its checks is worth no more than a lost disk, and is treated like one:
-// it is emptied, and the host comes back as another node.
+// A data directory that fails its checks is treated like a lost disk: it is emptied, and the host
+// joins again as another node.
 Expected<void> Coordinator::open_replica() {
     const std::vector<std::string> seeds = config_.seed_ips();
     const bool founder =
@@ -78,12 +81,12 @@
         Expected<void> opened = node ? open_replica_as(*node) : tl::make_unexpected(node.error());
         if (opened || opened.error().kind != FailureKind::Damaged)
             return opened;
-        log(LogLevel::Error, "data folder is damaged; starting as a new node",
+        log(LogLevel::Error, "data directory is damaged; starting as a new node",
             {{"detail", opened.error().detail}});
         if (auto emptied = empty_folder(); !emptied)
             return emptied;
     }
-    return fail(FailureKind::Damaged, "an emptied data folder is damaged again");
+    return fail(FailureKind::Damaged, "data directory is damaged even after it was emptied");
 }
 
 Expected<void> Coordinator::open_replica_as(NodeId node) {
@@ -117,8 +120,8 @@
     return {};
 }
 
-// Nothing was promised on the strength of what could not be written: raft's state after a failed
-// write is thrown away, and read back from the disk once it works again.
+// No entry is acknowledged before it is written. So the Raft state in memory can be dropped after a
+// failed write, and read from the disk once that works again.
 void Coordinator::storage_failed(const Failure& failure) {
     log(LogLevel::Error, "storage failed; the log is closed until it can be read again",
         {{"failure", std::string(name_of(failure.kind))}, {"detail", failure.detail}});
@@ -126,7 +129,7 @@
     reopen_due_ = BootClock::now() + ReopenEvery;
     if (!replica_)
         return;
-    // From the loop: this may run within one of the replica's own calls.
+    // Destroyed from the event loop, since this may run within a call of the replica itself.
     asio::post(io_,
                [this, old = std::shared_ptr<Replica>(std::move(replica_))] { settle_waiting(); });
     led_ = false;
@@ -206,7 +209,7 @@
     });
 }
 
-// One line a second for each control host that lacks entries which others have committed.
+// Logs each control host that lacks committed entries. Runs once a second.
 void Coordinator::note_peers_behind() const {
     const Raft& raft = replica_->raft();
     for (const auto& [address, peer] : peers_) {
@@ -222,7 +225,7 @@
     }
 }
 
-// Work of one turn of the loop shares one sync: this is the group commit.
+// Group commit: all proposals of one turn of the event loop share one sync to disk.
 void Coordinator::pump_soon() {
     if (std::exchange(pump_posted_, true))
         return;
@@ -289,7 +292,8 @@
         groups_.step_down();
 }
 
-// Control hosts that are no voters but could become some: heard of, and known by their own word.
+// Control hosts that are not voters but could become voters: known, and with a node number that
+// they announced themselves.
 Voters Coordinator::learners() const {
     const Voters& voters = replica_->raft().voters();
     Voters learners;
@@ -312,7 +316,7 @@
     return views;
 }
 
-// Voters change one at a time, each change in the log before the next begins.
+// Voters change one at a time: each change is committed before the next one is proposed.
 void Coordinator::keep_voters() {
     if (!leads())
         return;
@@ -335,9 +339,9 @@
 
 // ---- the operators' document
 
-// A majority of three hosts is two disks: the loss of two would take an acknowledged change with
-// it. So the answer waits until one disk more than may be lost has it, in a set of voters that
-// still has a majority without the lost ones.
+// A majority of three hosts is two disks, and the loss of both would lose an acknowledged change.
+// So the acknowledgement waits until one disk more than the tolerated losses has the document, in a
+// set of voters that still has a majority without the lost ones.
 bool Coordinator::durable(const StoredDocument& document) const {
     const Raft& raft = replica_->raft();
     const std::size_t copies = raft.synced_copies(document.index);
@@ -442,9 +446,9 @@
     send_to_entries(make_lease_ack(0));
 }
 
-// Once over each link: what was sent arrives, or the link ends, and an entry host that lacks the
-// document asks again and again. Where much waits already, the newest document leaves at a later
-// question.
+// A document is sent once over each link: it arrives, or the link breaks, and an entry host that
+// lacks the document asks for it with each renewal. Where the link has a long send queue, the
+// newest document is sent at a later renewal.
 void Coordinator::push_document_to(EntrySession& session) {
     const StoredDocument& document = replica_->state().document();
     const Version known = std::max(session.renew.lease, session.pushed);
--- a/src/process/coordinator.h
+++ b/src/process/coordinator.h
@@ -1,3 +1,7 @@
+// Run by liftweir-site-control, where endpoints register themselves: keeps the operators' document
+// in the replicated log, merges the registrations of endpoints, and while it leads, maintains the
+// set of voters and plans the serving groups.
+
 #ifndef COORDINATOR_H_INCLUDED
 #define COORDINATOR_H_INCLUDED
 
@@ -26,28 +30,26 @@
 
 namespace liftweir {
 
-// How orders reach endpoints. Implemented by whoever knows their protocol.
+// Sends orders to endpoints. Implemented for each protocol that endpoints speak.
 class EndpointOrders {
   public:
     virtual ~EndpointOrders() = default;
     virtual void send(const EndpointOrder& order, std::function<void(OrderAnswer)> answered) = 0;
-    // Asks an endpoint for a sign of life; false where it gave none in time, or another incarnation
-    // has its address.
+    // Asks an endpoint whether it is alive. Answers false where no answer came in time, or where
+    // another incarnation answered at its address.
     virtual void probe(const EndpointReport& endpoint, std::function<void(bool)> answered) = 0;
 };
 
-// Reads the operators' document. Fails with BadSettings, never with a part of it.
+// Decodes the operators' document. Fails with BadSettings; never returns a part of a document.
 using DocumentDecoder = std::function<Expected<Deployment>(const std::string& body)>;
 
-// A control host where endpoints register themselves: keeps the operators' document in the
-// replicated log, merges registrations, and while it leads, keeps the voters complete and plans
-// the groups. Single-threaded; all decisions are in the state machines that it drives.
+// Single-threaded. All decisions are made in the state machines that it drives.
 class Coordinator {
   public:
     using Done = std::function<void(const Expected<void>&)>;
     using Read = std::function<void(const Expected<StoredDocument>&)>;
 
-    // Fails with Storage where the data folder can not be opened at all.
+    // Fails with Storage only where the data directory can not be opened. A damaged one is emptied.
     static Expected<std::unique_ptr<Coordinator>> open(asio::io_context& io,
                                                        const SiteConfig& config,
                                                        EndpointOrders& orders,
@@ -55,65 +57,67 @@
     ~Coordinator();
 
     void start();
-    // The settings file has changed.
+    // Applies a changed settings file. Only the seeds may change while the process runs.
     void reconfigure(const SiteConfig& config);
 
-    // Answers the operators' calls that wait, and takes no more: another host may lead soon.
+    // Prepares the shutdown: answers the operators' calls that wait, and accepts no more, since
+    // another host may lead soon.
     void leave();
 
-    // Done once the document, or a newer one, is on enough disks. NotLeader names no one else:
-    // see leader_ip.
+    // Calls `done` once the document, or a newer one, is on enough disks. Fails with NotLeader
+    // where another host leads; leader_ip() says which one.
     void replace_document(Version version, const std::string& body, Done done);
     void read_document(Read read);
-    // Where the leader is; empty where none is known, or this host leads.
+    // IP of the leader; empty where none is known, or where this host leads.
     std::string leader_ip() const;
-    // This host leads, and knows what was committed before.
+    // Whether this host leads and has applied all entries that were committed before.
     bool leads() const { return !leaving_ && replica_ && replica_->raft().leads_with_commit(); }
 
-    // An endpoint registered itself, or deregistered. Leaving is handed on before these return. A
-    // report that is not taken changes nothing.
+    // Merges the registration of an endpoint. A rejected report changes nothing. An endpoint that
+    // drains is announced to all hosts before this returns.
     ReportFault report(const EndpointReport& report);
+    // Deregisters an endpoint, and announces that to all hosts before it returns.
     void gone(EndpointId id);
-    // A report under the name was not taken: counted, and logged within bounds.
+    // Counts a rejected report under the name, and logs it at a limited rate.
     void refused(const std::string& name, ReportFault fault);
 
   private:
     Coordinator(asio::io_context& io, SiteConfig config, EndpointOrders& orders,
                 DocumentDecoder decode);
 
-    // An entry host that has not renewed for so long is out of touch and not counted.
+    // An entry host that has not renewed its lease for this long is not counted.
     static constexpr Duration EntrySessionKept = std::chrono::seconds(4);
 
-    // Signs of life are gathered for so long before they are passed on.
+    // Heartbeats of endpoints are collected for this long before they are forwarded to peers.
     static constexpr Duration AliveEvery = std::chrono::milliseconds(500);
 
-    // An entry host that renews here.
+    // An entry host that renews its lease at this host.
     struct EntrySession {
         Link::Ptr link;
         LeaseRenewal renew;
         Time heard{};
-        Time digests_due{}; // told again how this host's registry differs
-        Version pushed = 0; // index of the last document that was sent over the link
+        Time digests_due{}; // when the registry digests may be sent again
+        Version pushed = 0; // log index of the last document that was sent over the link
     };
     // Another control host.
     struct Peer {
         std::unique_ptr<Dialer> dialer;
-        std::unique_ptr<Dialer> raft; // carries the log's packets alone
+        std::unique_ptr<Dialer> raft; // carries only the messages of the replicated log
         NodeId node = NoNode;
     };
-    // Reports of one fault that were not taken.
+    // Rejected reports of one kind of fault.
     struct RefusedReports {
         Time logged{};
-        std::uint64_t since = 0; // not told in the log yet
+        std::uint64_t since = 0; // rejected since the last logged line
     };
-    // An operator's call that waits for its document to be on enough disks.
+    // An operator's call that waits until its document is on enough disks.
     struct Waiting {
         Version version = 0;
         Done done;
         Time begun{};
     };
 
-    // storage and log
+    // storage and replicated log
     Expected<void> open_replica();
     Expected<void> open_replica_as(NodeId node);
     Expected<void> empty_folder();
@@ -135,7 +139,7 @@
     void send_to_peers(const WireMessage& message);
     void push_document_to(EntrySession& session);
 
-    // links
+    // links to control hosts and entry hosts
     void connect_to(const std::string& address);
     void learn(NodeId node);
     void greet(Peer& peer);
@@ -173,7 +177,7 @@
     void send_orders();
     void give(const OrderQueue::Item& item);
 
-    // requests that end endpoints
+    // quarantine of requests that crash endpoints
     void on_aborted(const Link::Ptr& link, const RequestsAborted& aborted, Time now);
     void on_suspicions(const Link::Ptr& link, const SuspectRequests& told, Time now);
     void clear(const std::vector<Fingerprint>& contents);
@@ -184,14 +188,14 @@
     void propose_quarantine(const SuspectRequest& held);
     void ask_whether_ended(const SuspectRequest& held);
 
-    // what endpoints say in their answers
+    // limits and shutdown notices that endpoints send in their answers
     void on_leaving(const Link::Ptr& link, const EndpointsLeaving& told, Time now);
     void tell_answers(const Link::Ptr& link, Time now) const;
     void forget_answers(Time now);
     void on_limit_words(const Link::Ptr& link, const LimitReports& told, Time now);
     void lend_limits(const Link::Ptr& link, const LeaseRenewal& renew, Time now);
 
-    // what entry hosts have under way
+    // load reports of the entry hosts
     void on_shares(const GroupLoadReports& shares, Time now);
     void tell_shares(Time now);
 
@@ -206,27 +210,27 @@
     Identity identity_;
     ClusterKeys keys_ = ClusterKeys::none();
     std::shared_ptr<Storage> storage_;
-    std::unique_ptr<Replica> replica_; // null while the disk refuses to work
+    std::unique_ptr<Replica> replica_; // null while the storage fails
     NodeId node_ = NoNode;
     Time reopen_due_{};
     VoterSelector voter_selector_;
     std::unique_ptr<LinkListener> listener_;
     std::map<std::string, Peer> peers_; // by link address
-    std::set<NodeId> nodes_;            // control hosts heard of, without this one
+    std::set<NodeId> nodes_;            // the other known control hosts
     std::map<std::string, EntrySession> entries_;
     Registry registry_;
     RegistryRepair repair_;
     std::unique_ptr<EndpointCacheFile> endpoint_cache_;
-    std::vector<EndpointReport> remembered_; // from before the start; empty once that is old
-    bool peer_settled_ = false;              // another control host ran on while this one did not
+    std::vector<EndpointReport> remembered_; // cached endpoints, until they are outdated
+    bool peer_settled_ = false;              // another control host has a complete registry
     Time started_{};
     Time roster_due_{};
     std::set<std::string> services_;                // of the document in force
-    std::map<ReportFault, RefusedReports> refused_; // by what was wrong with them
-    std::vector<EndpointReport> changes_;           // to peers and entry hosts
-    std::vector<EndpointReport> entry_changes_;     // to entry hosts only
-    std::set<Epoch> dissolved_;                     // told to entry hosts
-    std::set<EndpointId> alive_;                    // heard since the last flush
+    std::map<ReportFault, RefusedReports> refused_; // by fault
+    std::vector<EndpointReport> changes_;           // to be sent to peers and entry hosts
+    std::vector<EndpointReport> entry_changes_;     // to be sent to entry hosts only
+    std::set<Epoch> dissolved_;                     // that entry hosts were notified of
+    std::set<EndpointId> alive_;                    // that sent a report since the last flush
     GroupController groups_;
     std::vector<Waiting> waiting_;
     Version applied_document_ = 0;
@@ -236,11 +240,11 @@
     Time leads_since_{};
     Term known_term_ = 0;
     Time term_began_{};
-    Time last_term_began_{}; // of the term before; not before this process
+    Time last_term_began_{}; // start of the previous term, or of this process where that is later
     bool pump_posted_ = false;
     Quarantine quarantine_;
-    std::map<Fingerprint, QuarantineRecord> applied_quarantine_; // of the log
-    std::map<EndpointId, Time> leaving_endpoints_;               // by their answers, since when
+    std::map<Fingerprint, QuarantineRecord> applied_quarantine_; // as of the replicated log
+    std::map<EndpointId, Time> leaving_endpoints_;               // since when, by their answers
     ReportedLimits limits_;
     LimitAllocator allocator_;
     EntryLoadTable work_;
@@ -249,7 +253,7 @@
     Time alive_due_{};
     Time plan_due_{};
     ThrottledWork planning_;
-    ThrottledWork telling_; // changes of endpoints, to peers and entry hosts
+    ThrottledWork telling_; // sends changes of endpoints to peers and entry hosts
     Ticker ticker_;
     OwnedGauges gauges_;
 };
--- a/src/process/coordinatorlimits.cpp
+++ b/src/process/coordinatorlimits.cpp
@@ -1,5 +1,5 @@
-// The side of Coordinator that passes on what endpoints say of themselves in their answers, and
-// lends parts of their limits to entry hosts while it leads.
+// Run by liftweir-site-control: forwards the rate limits and shutdown notices that endpoints send
+// in their answers, and while it leads, grants shares of the limits to entry hosts.
 
 #include "process/coordinator.h"
 #include "process/logging.h"
@@ -8,7 +8,8 @@
 
 namespace {
 
-// Entry hosts that begin later are told for so long after the endpoint has gone.
+// A shutdown notice is kept for at least this long, and while its endpoint is registered, for entry
+// hosts that start later.
 constexpr Duration LeavingKept = std::chrono::minutes(1);
 
 } // namespace
@@ -48,7 +49,7 @@
     send_to_entries(news);
 }
 
-// To an entry host that may have begun just now.
+// Sends all known limits and shutdown notices to an entry host that may have started just now.
 void Coordinator::tell_answers(const Link::Ptr& link, Time now) const {
     if (!limits_.empty())
         link->send(LimitReports{limits_.reports(now)});
@@ -66,7 +67,7 @@
     });
 }
 
-// Before the answer to the question, which ends it.
+// Sent before the answer to the renewal, since that answer ends the renewal at the entry host.
 void Coordinator::lend_limits(const Link::Ptr& link, const LeaseRenewal& renew, Time now) {
     allocator_.seen(renew.entry, renew.incarnation, renew.calls, now);
     if (!leads() || limits_.limited() == 0)
--- a/src/process/coordinatorlinks.cpp
+++ b/src/process/coordinatorlinks.cpp
@@ -1,4 +1,5 @@
-// The side of Coordinator that meets other hosts, and gives its planners' orders.
+// Run by liftweir-site-control: links to control hosts and entry hosts, rounds of the planners, and
+// their orders to endpoints.
 
 #include "connection/codec.h"
 #include "process/coordinator.h"
@@ -13,14 +14,15 @@
 namespace {
 
 constexpr Duration PlanEvery = std::chrono::milliseconds(150);
-// An entry host that lacks the document asks more often than registries need to be compared.
+// Registry digests are sent to an entry host at most this often. One that lacks the document renews
+// its lease more often than that.
 constexpr Duration CompareEvery = std::chrono::milliseconds(800);
 
 } // namespace
 
 // ---- links
 
-// Encoded once for all links.
+// Encodes the message once for all links.
 void Coordinator::send_to_entries(const WireMessage& message) {
     const EncodedMessage encoded(message);
     for (auto& [name, session] : entries_)
@@ -34,8 +36,8 @@
         peer.dialer->send(encoded);
 }
 
-// Heartbeats and votes take a connection of their own: behind copies of the registry they would
-// come later than an election timeout.
+// Raft messages get a connection of their own. Behind copies of the registry in the same queue,
+// heartbeats and votes would arrive later than an election timeout.
 void Coordinator::connect_to(const std::string& address) {
     if (peers_.contains(address))
         return;
@@ -81,7 +83,8 @@
         greet(peer);
 }
 
-// A host has one data folder at a time: the number that it says now is the one that counts.
+// A host has one data directory at a time, so the node number in its latest message replaces
+// earlier ones.
 void Coordinator::on_hello(const PeerHello& hello) {
     if (same_host(hello.node, node_))
         return;
@@ -193,7 +196,7 @@
     if (new_link)
         tell_answers(link, session.heard);
     lend_limits(link, renew, session.heard);
-    // A closed log can vouch for nothing.
+    // Without an open log this host can not acknowledge a renewal.
     if (replica_)
         link->send(make_lease_ack(renew.sequence));
     if (new_link && !remembered_.empty())
@@ -212,13 +215,14 @@
     link->send(RegistryDigests{registry_.range_digests()});
 }
 
-// ---- what entry hosts have under way
+// ---- load reports of the entry hosts
 
 void Coordinator::on_shares(const GroupLoadReports& shares, Time now) {
     work_.tell(shares.entry, shares.shares, now);
 }
 
-// Hosts that have nothing under way are told as well: their next request needs the figures.
+// Entry hosts without requests in flight get the load of the others too, since their next request
+// needs it.
 void Coordinator::tell_shares(Time now) {
     work_.expire(now);
     shares_due_ = now + work_.every();
@@ -232,8 +236,8 @@
 
 // ---- groups
 
-// Each change asks for a round. Where thousands of endpoints tell of changes, rounds follow each
-// other no faster than leaves most of the time to what else this process does.
+// Each change requests a planning round. Where thousands of endpoints report changes, the rounds
+// are paced so that most of the process's time is left for its other work.
 void Coordinator::plan_soon() {
     if (leads())
         planning_.schedule();
@@ -270,7 +274,8 @@
     });
 }
 
-// Entry hosts believe a lead's own report. A lost lead can not take back its last one.
+// Notifies entry hosts of dissolved groups. They go by the report of a group's lead, and a lead
+// that was lost can not withdraw its last report.
 void Coordinator::tell_dissolved(const Link::Ptr& only) {
     const std::set<Epoch> all = groups_.dissolved(registry_);
     const bool news = !std::includes(dissolved_.begin(), dissolved_.end(), all.begin(), all.end());
--- a/src/process/coordinatorquarantine.cpp
+++ b/src/process/coordinatorquarantine.cpp
@@ -1,6 +1,6 @@
-// The side of Coordinator that joins what entry hosts saw of requests which end endpoints. Each
-// control host counts for itself and tells its entry hosts at once; the log keeps what was decided
-// for the time after a loss of power on all hosts.
+// Run by liftweir-site-control: combines what entry hosts observed of requests that crash
+// endpoints. Each control host counts by itself and notifies its entry hosts at once. The
+// replicated log keeps the quarantine decisions across a power loss of all hosts.
 
 #include "process/coordinator.h"
 #include "process/logging.h"
@@ -11,7 +11,7 @@
 namespace liftweir {
 
 void Coordinator::on_aborted(const Link::Ptr& link, const RequestsAborted& aborted, Time now) {
-    // An entry host may reach some control hosts only.
+    // An entry host may have links to some of the control hosts only.
     if (link->peer().role == ProcessRole::Entry)
         send_to_peers(aborted);
     SuspectRequests news;
@@ -43,8 +43,10 @@
         send_to_entries(news);
 }
 
-// An endpoint ran them to their end. Where the log holds them back, or is about to, it is told as
-// well: what is taken back before it is committed was held back again after a restart.
+// Lifts the quarantine of requests that an endpoint has answered whole. Where the replicated log
+// has a quarantine entry for a request, or may be about to commit one, the leader proposes its
+// removal too. Without that, a quarantine lifted before its entry was committed would come back
+// after a restart.
 void Coordinator::clear(const std::vector<Fingerprint>& contents) {
     SuspectRequests news;
     for (const Fingerprint& content : contents) {
@@ -78,14 +80,16 @@
     ask_whether_ended(held);
 }
 
-// A link may break connections off, or an endpoint that goes on. Who answers under the start that
-// it had has not ended, so the request did not end it: what three such endpoints broke off was held
-// back for ten minutes from all who asked the same. Where the request did end them, nobody answers.
+// Connections may also be aborted by the network, or by an endpoint that keeps running. An endpoint
+// that still answers as the same incarnation has not crashed, so the request did not crash it.
+// Without this check, a request that three running endpoints aborted would be quarantined for ten
+// minutes for all callers that send the same. Endpoints that did crash do not answer.
 void Coordinator::ask_whether_ended(const SuspectRequest& held) {
     const std::size_t counted = std::min<std::size_t>(held.ends, held.endpoints.size());
     for (auto id = held.endpoints.end() - static_cast<std::ptrdiff_t>(counted);
          id != held.endpoints.end(); ++id) {
-        // Where no start is told, one that has ended and is back answers as if it never had.
+        // Without its process start in the id, a restarted endpoint can not be distinguished from
+        // one that kept running.
         const Registry::Item* item = registry_.find(*id);
         if (item == nullptr || !id->has_start_time())
             continue;
@@ -94,16 +98,17 @@
                 return;
             log(LogLevel::Info, "request cleared: an endpoint that broke it off has not ended",
                 {{"content", text_of(content)}, {"endpoint", text_of(endpoint)}});
-            // Not by the log alone: where it takes both at once, others never see the verdict go.
+            // Peers are notified directly as well: where the log applies quarantine and removal in
+            // one step, they would never see the removal.
             send_to_peers(SuspectRequests{{}, {content}});
             clear({content});
         });
     }
 }
 
-// Whoever hears of two ends late may count them as one. Told of what another host decided, the
-// leader puts it into the log: on a busy machine one control host of three held a request back, and
-// neither the leader nor the log knew.
+// Sends a quarantine decision to all peers, so that the leader writes it into the log. A control
+// host that receives the reports of two crashes late may count them as one: on a busy machine one
+// control host of three quarantined a request, and neither the leader nor the log knew of it.
 void Coordinator::tell_peers(const SuspectRequest& held) {
     send_to_peers(SuspectRequests{{held}, {}});
 }
@@ -115,7 +120,8 @@
     pump_soon();
 }
 
-// Once a second: what a control host knew that leads no more, or that has more ends by now.
+// Proposes the quarantines that are not in the log, or are there with fewer crashes: those that
+// were decided under an earlier leader, or have grown since. Runs once a second.
 void Coordinator::keep_quarantine() {
     if (!leads())
         return;
@@ -127,7 +133,7 @@
     }
 }
 
-// What the log decided while this host, or all hosts, were down.
+// Takes over the quarantine decisions of the log, among them those from before a restart.
 void Coordinator::quarantine_applied() {
     const auto& logged = replica_->state().quarantined();
     if (logged == applied_quarantine_)
--- a/src/process/coordinatorregistry.cpp
+++ b/src/process/coordinatorregistry.cpp
@@ -1,5 +1,5 @@
-// The registrations at Coordinator: merged here, passed on to all hosts, and kept on its disk for
-// the next start.
+// Run by liftweir-site-control: merges the registrations of endpoints, forwards them to all hosts,
+// and keeps them on disk for the next start.
 
 #include "process/coordinator.h"
 #include "process/logging.h"
@@ -11,9 +11,9 @@
 
 namespace {
 
-// Two beats and some: by then whoever lives has registered again.
+// Two heartbeat intervals with some slack: by then every live endpoint has registered again.
 constexpr Duration RememberedFor = std::chrono::milliseconds(3000);
-// An endpoint that has missed two reports is kept no longer.
+// An endpoint that has missed this many reports is no longer written to disk.
 constexpr int BeatsMissed = 2;
 // About 200 bytes for each endpoint: with 930 of them less than 100 KB a second.
 constexpr Duration RosterEvery = std::chrono::milliseconds(2000);
@@ -21,7 +21,7 @@
 
 } // namespace
 
-// ---- merging and passing on
+// ---- merging and forwarding
 
 void Coordinator::on_digests(const Link::Ptr& link, const RegistryDigests& digests, Time now) {
     const auto wanted =
@@ -30,7 +30,7 @@
         link->send(RangesRequested{wanted});
 }
 
-// What a full link does not take is asked for again.
+// The receiver asks again for the ranges that do not fit into a full send queue.
 void Coordinator::send_ranges(const Link::Ptr& link, const RangesRequested& wanted,
                               Time now) const {
     for (const RangeCopy& part : copy_ranges(registry_, wanted.ranges, now)) {
@@ -47,8 +47,8 @@
     return fault;
 }
 
-// An endpoint whose service the operators have taken away is still known, and may leave in order. A
-// start never changes what it serves, or where.
+// A known endpoint may still report after the operators have removed its service, so that it can
+// shut down in order. One incarnation never changes its service or address.
 ReportFault Coordinator::fault_here(const EndpointReport& report) const {
     if (const ReportFault fault = fault_of(report); fault != ReportFault::None)
         return fault;
@@ -61,7 +61,8 @@
                                                                    : ReportFault::Service;
 }
 
-// Whoever writes such reports may write many: one line a second tells of each kind.
+// A faulty client may send many such reports, so at most one line a second is logged for each
+// fault.
 void Coordinator::refused(const std::string& name, ReportFault fault) {
     const std::string why(name_of(fault));
     Metrics::instance().counter("liftweir_reports_refused", "why=\"" + why + "\"").add();
@@ -86,7 +87,7 @@
     telling_.run();
 }
 
-// Copies of ranges tell how old they are.
+// Copies of registry ranges carry the age of each report.
 void Coordinator::on_changes(const EndpointChanges& changes, Time now) {
     for (std::size_t n = 0; n < changes.reports.size(); ++n)
         merge(changes.reports[n], false, now - changes.silent(n));
@@ -117,14 +118,15 @@
         changed(current, false);
     else
         groups_.observe(current, BootClock::now());
-    // The one who registers is answered after this: nobody may still send it work then.
+    // The endpoint gets its answer after this. From then on no entry host may send it requests, so
+    // the change is sent now.
     if (first_hand && current.phase != EndpointPhase::Serving)
         telling_.run();
     plan_soon();
 }
 
-// In doubt here, it may stand elsewhere, and its word that it leaves counts there. Who does not
-// know it doubts it too.
+// Forwards the shutdown of an endpoint whose registration is unconfirmed at this host. Other hosts
+// may have confirmed it, and have to know. Those that have not keep it unconfirmed as well.
 void Coordinator::pass_on_doubted(const EndpointReport& report) {
     if (report.phase == EndpointPhase::Serving)
         return;
@@ -132,7 +134,8 @@
     telling_.run();
 }
 
-// Those that ended go first: hosts that hear of a newer start alone would doubt it.
+// Forwards endpoints whose address conflict was resolved. Those that have ended come first: a host
+// that received only the newer incarnation would treat it as unconfirmed.
 void Coordinator::pass_on_settled() {
     for (const EndpointId& id : registry_.take_resolved()) {
         const EndpointReport& report = registry_.find(id)->report;
@@ -145,7 +148,8 @@
     }
 }
 
-// Two incarnations at one address: the address itself says which of them it is.
+// Resolves conflicts of two incarnations at one address by a probe: the answer at the address shows
+// which of them runs there.
 void Coordinator::settle_doubts(Time now) {
     for (const Registry::AddressCheck& question : registry_.take_address_checks(now))
         orders_.probe(question.endpoint, [this, question](bool alive) {
@@ -171,13 +175,14 @@
     telling_.schedule();
 }
 
-// Where hundreds of entry hosts are told of thousands of endpoints that register, a message to each
-// of them for each turn of the loop took all of the processor share: so this is work at a pace.
+// Paced, since a message to each of hundreds of entry hosts in every turn of the event loop used up
+// the whole CPU share of the process while thousands of endpoints registered.
 void Coordinator::send_changes() {
     if (changes_.empty() && entry_changes_.empty())
         return;
     const EndpointChanges to_peers{std::exchange(changes_, {}), {}};
-    // What peers told goes first: it may have ended whose place another has taken since.
+    // Changes from peers come first: one of them may be the end of an endpoint whose address
+    // another endpoint has taken since.
     EndpointChanges to_entries{std::exchange(entry_changes_, {}), {}};
     to_entries.reports.insert(to_entries.reports.end(), to_peers.reports.begin(),
                               to_peers.reports.end());
@@ -201,8 +206,9 @@
     return now - started_ > RememberedFor;
 }
 
-// Not before the registry is whole again after a start: until then the old file is worth more.
-// Where another control host went on meanwhile, the old file is worth nothing.
+// Writes the known endpoints to disk, but after a start only once the registry is complete again:
+// until then the old file holds more. The old file is outdated where another control host kept
+// running in the meantime.
 void Coordinator::keep_roster(Time now) {
     if (peer_settled_)
         remembered_.clear();
