--- a/src/process/gateway.cpp
+++ b/src/process/gateway.cpp
@@ -1,3 +1,6 @@
+// Run by liftweir-site-entry: admits callers' requests, checks their calls in flight, and drains
+// them at the shutdown.
+
 #include "process/gateway.h"
 
 #include "process/logging.h"
@@ -10,30 +13,32 @@
 
 namespace {
 
-// Streams that stand still, and calls out of time, are looked for this often.
+// How often stalled streams and calls past their time limits are looked for.
 constexpr Duration TickEvery = std::chrono::milliseconds(40);
 constexpr Duration SecondlyEvery = std::chrono::milliseconds(1000);
-// The lease ends this much before a removed key must have stopped: messages on their way, a loop
-// that is late, and the drift of two clocks.
+// The lease ends this much before a removed key must be rejected. This covers messages in flight, a
+// late turn of the event loop, and the drift of two clocks.
 constexpr Duration LeaseMargin = std::chrono::milliseconds(900);
 constexpr Duration LeastLease = std::chrono::milliseconds(500);
-// Control is told again while a group goes on standing still.
+// While a group stays stalled, control hosts are notified this often.
 constexpr Duration SuspectEvery = std::chrono::milliseconds(300);
-// A group that stood still gets nothing new for so long; then one request tries it.
+// A stalled group gets no new requests for this long. Then one request tries it.
 constexpr Duration AvoidStalled = std::chrono::milliseconds(1000);
 constexpr Duration RetryAfterUnready = std::chrono::milliseconds(1000);
-// The balancer asks every second and believes two misses. Until then new work is taken; after that
-// none, whoever still sends it: where most hosts of a zone leave together, the balancer goes on
-// sending to all of them, and what is taken late is cut off at the end.
+// The load balancer probes readiness every second and removes a host after two failed probes. Until
+// then new requests are admitted, after that none. Where most hosts of a zone shut down together,
+// the balancer keeps sending to all of them, and requests admitted late would be aborted at the
+// end.
 constexpr Duration LeavingNotice = std::chrono::milliseconds(2600);
-// Time left for the last answers to leave before the process is killed.
+// Time kept free before the process is killed, for the last answers to be sent.
 constexpr Duration LeavingReserve = std::chrono::milliseconds(900);
-// A host that has drained waits so long for callers to close connections with their last answers.
+// A drained host waits this long for callers to close their connections after the last answers.
 constexpr Duration DrainedLinger = std::chrono::milliseconds(300);
-// For the last answers to leave once nothing is under way, and where calls had to be abandoned.
+// Time for the last answers to be sent: once no call is in flight, and where calls were aborted.
 constexpr Duration LastAnswers = std::chrono::milliseconds(20);
 constexpr Duration LastAnswersWhenLate = std::chrono::milliseconds(200);
-// An endpoint that was not suspected for so many rounds of telling is forgotten here.
+// The record of a stalled endpoint is dropped after this many intervals of StallReportInterval
+// without a stall.
 constexpr int SuspicionRoundsKept = 10;
 
 HttpServerLimits limits_of(const CallerLimits& limits) {
@@ -134,7 +139,7 @@
     return nullptr;
 }
 
-// Names the customer in the plan, or answers the request itself.
+// Sets the customer in the plan and returns true, or rejects the request and returns false.
 bool Gateway::authorise(HttpExchange& exchange, const CallerRequest& request, Time now,
                         RelayedCallRoute& plan) {
     if (!plan.route->needs_key || plan.table->deployment().customers.empty())
@@ -171,7 +176,8 @@
         answer_self(*exchange, request, 503, "no_settings", RetryAfterUnready);
 }
 
-// Tells whether callers come on connections that they kept, or because the balancer still sends.
+// Records whether a late request came on a kept connection, or on a new one because the load
+// balancer still sends requests.
 void Gateway::note_taken_while_leaving(const HttpExchange& exchange, const CallerRequest& request,
                                        Time now) {
     const std::string connection = exchange.on_reused_connection() ? "kept" : "new";
@@ -184,8 +190,9 @@
          {"since_signal_ms", std::to_string(to_millis(now - leaving_since_))}});
 }
 
-// Whether requests can be judged by settings that are in force. A host that was in service once
-// and lost touch with control refuses at once what it may not judge: that may last.
+// Whether requests can be checked against settings that are in force. A host that has been in
+// service and then lost contact with control rejects at once the requests that need a lease, since
+// the loss may last.
 bool Gateway::in_service(Time now) const {
     return table_ != nullptr && (ever_in_service_ || lease_holds(now));
 }
@@ -212,7 +219,7 @@
     plan.table = table_;
     plan.route = table_->find(request.host, request.path);
     if (plan.route == nullptr) {
-        // Without touch to control, a route may just have been added.
+        // Without contact to control, the route may just have been added.
         const bool sure = lease_holds(now);
         answer_self(*exchange, request, sure ? 404 : 503, sure ? "not_found" : "no_lease",
                     sure ? Duration::zero() : RetryAfterUnready);
@@ -310,7 +317,7 @@
         GroupSuspected{item->report.membership.epoch, id, static_cast<std::uint32_t>(silent)});
 }
 
-// ---- leaving
+// ---- shutdown
 
 bool Gateway::ready() const {
     return table_ != nullptr && leaving_since_ == Time{} && lease_holds(BootClock::now());
@@ -324,14 +331,14 @@
     callers_->close_after_answers();
 }
 
-// Takes nothing new, and only finishes what there is.
+// Whether new requests are rejected and only the calls in flight are finished.
 bool Gateway::drains(Time now) const {
     return stopped_ || (leaving_since_ != Time{} && now - leaving_since_ > LeavingNotice);
 }
 
-// A host without calls closes its door: callers that still come find another one sooner by a
-// refused connect than by an answer, and can not keep this host from ending. Requests that are
-// being read, and answers that callers read slowly, are no calls, and are waited for too.
+// A host without calls stops listening: a refused connection moves a caller to another host sooner
+// than an error answer does, and late callers can not delay the shutdown. Requests that are still
+// being received, and answers that callers read slowly, are not calls, and are waited for too.
 bool Gateway::drained(Time now) {
     if (!drains(now) || !calls_.empty())
         return false;
--- a/src/process/gateway.h
+++ b/src/process/gateway.h
@@ -1,3 +1,6 @@
+// Run by liftweir-site-entry, where endpoints register themselves: admits callers' requests, and
+// forwards them to endpoints by the newest document of the operators that is known to be in force.
+
 #ifndef GATEWAY_H_INCLUDED
 #define GATEWAY_H_INCLUDED
 
@@ -23,8 +26,7 @@
 
 namespace liftweir {
 
-// An entry host where endpoints register themselves: takes callers' requests, and passes them to
-// endpoints by the newest document that it knows to be in force. Single-threaded.
+// Single-threaded.
 class Gateway final : public RelayedCallContext {
   public:
     using Decoder = std::function<Expected<Deployment>(const std::string& body)>;
@@ -36,9 +38,9 @@
     Gateway& operator=(const Gateway&) = delete;
 
     void start();
-    // The settings file has changed.
+    // Applies a changed settings file. Only the seeds may change while the process runs.
     void reconfigure(const SiteConfig& config);
-    // Stops taking work, finishes what there is, then stops the loop.
+    // Admits no new requests, finishes those in flight, then stops the event loop.
     void leave();
 
   private:
@@ -56,7 +58,7 @@
     void cleared(const Fingerprint& content) override;
     void ended(const CallSummary& summary) override;
 
-    // control
+    // links to control hosts
     void connect_to(const std::string& address);
     void renew(Time now);
     void end_silent_links(Time now);
@@ -73,7 +75,7 @@
     void send_to_control(const WireMessage& message);
     bool lease_holds(Time now) const;
 
-    // endpoints, as control tells of them
+    // registrations of endpoints, from control hosts
     void on_changes(const EndpointChanges& changes);
     void on_digests(const std::string& address, const RegistryDigests& digests);
     void ask_for_agreed(Time now);
@@ -81,13 +83,13 @@
     void on_remembered(const EndpointsRestored& remembered);
     void forget_unconfirmed(Time now);
 
-    // requests that end endpoints
+    // quarantine of requests that crash endpoints
     void tell_cut_off();
     void tell_suspicions(const std::string& address);
     void on_suspicions(const SuspectRequests& told);
     void note_quarantined(const Fingerprint& content, Time now);
 
-    // what endpoints say in their answers
+    // limits and shutdown notices that endpoints send in their answers
     void on_leaving(const EndpointsLeaving& told);
     void tell_limits(Time now);
     void on_limit_words(const LimitReports& told);
@@ -113,7 +115,7 @@
     void watch_stalls(Time now);
     void tell_suspicion(const EndpointId& id, Time now);
 
-    // leaving
+    // shutdown
     bool ready() const;
     bool drains(Time now) const;
     bool drained(Time now);
@@ -131,37 +133,37 @@
     bool ever_in_service_ = false;
     Time in_service_since_{};
     CallerWaitEstimator waits_;
-    StartupQueue held_; // until this host is in service for the first time
+    StartupQueue held_; // requests that arrive before this host is in service for the first time
     Directory directory_;
     std::unique_ptr<HttpChannelPool> pool_;
     std::unique_ptr<HttpServer> callers_;
     std::unique_ptr<HttpServer> ready_;
     std::unique_ptr<HttpServer> metrics_;
     std::map<std::string, std::unique_ptr<Dialer>> control_; // by link address
-    std::map<std::string, NodeId> nodes_;                    // by link address, from their answers
-    std::map<std::string, Version> told_of_; // newest document's index, by who told of it
-    std::string source_;                     // control host that pushes the document
+    std::map<std::string, NodeId> nodes_;    // by link address, from the control hosts' answers
+    std::map<std::string, Version> told_of_; // newest document's log index, by the host that has it
+    std::string source_;                     // control host that is asked for the document
     StoredDocument document_;
     std::shared_ptr<const RouteTable> table_;
     std::map<std::string, WindowedRetryBudget> budgets_; // by service
     std::set<std::shared_ptr<RelayedCall>> calls_;
     RegistryRepair repair_;
-    std::map<EndpointId, Time> suspected_; // told control
+    std::map<EndpointId, Time> suspected_; // when a stall was last reported to control hosts
     Quarantine quarantine_;
-    std::map<EndpointId, std::vector<AbortedRequest>> cut_off_; // not told control yet
-    std::set<EndpointId> unconfirmed_; // known from before a restart, and not heard of since
+    std::map<EndpointId, std::vector<AbortedRequest>> cut_off_; // not reported to control hosts yet
+    std::set<EndpointId> unconfirmed_; // cached endpoints without a report since
     std::uint64_t calls_taken_ = 0;
-    double share_ = 0.1; // this host's part of all calls under way
+    double share_ = 0.1; // this host's share of all calls in flight
     std::minstd_rand random_;
-    NodeId leader_ = NoNode;   // as control hosts say
-    Duration tell_every_{};    // this host's work at the groups
-    bool told_shares_ = false; // of some work, the last time
+    NodeId leader_ = NoNode;   // as control hosts report it
+    Duration tell_every_{};    // interval of the load reports
+    bool told_shares_ = false; // the last load report was not empty
     Time tell_due_{};
     Time renew_due_{};
     Time second_due_{};
     Time leaving_since_{};
     Time drained_since_{};
-    bool stopped_ = false; // the last answers are leaving; nothing is taken any more
+    bool stopped_ = false; // the last answers are being sent; no request is admitted any more
     Ticker ticker_;
     OwnedGauges gauges_;
 };
--- a/src/process/gatewaycontrol.cpp
+++ b/src/process/gatewaycontrol.cpp
@@ -1,5 +1,5 @@
-// The side of Gateway that meets control hosts: links, leases, the document, and what they tell of
-// endpoints.
+// Run by liftweir-site-entry: links to control hosts, the settings lease, the operators' document,
+// and the registrations of endpoints.
 
 #include "process/gateway.h"
 #include "process/logging.h"
@@ -13,12 +13,12 @@
 namespace {
 
 constexpr Duration RenewEvery = std::chrono::milliseconds(1000);
-// A control host knows of something newer: asked again at this pace until it is here.
+// Renewal interval while a control host has newer settings than this host.
 constexpr Duration RenewBehindEvery = std::chrono::milliseconds(150);
-// A report may be late by this much.
+// How late an endpoint's report may arrive.
 constexpr Duration BeatSlack = std::chrono::milliseconds(400);
 constexpr double ShareSmoothing = 0.3;
-// This host never takes itself for a smaller part of all entry hosts.
+// Lower bound of this host's share of all calls.
 constexpr double LeastShare = 0.02;
 
 } // namespace
@@ -61,10 +61,10 @@
         dialer->close_if_unresponsive(now);
 }
 
-// Any control host that is up, and the same one for as long as it is and has what others have. One
-// that has told of the newest document is sending it, and so may be one that has not answered over
-// this link yet: asking another host as well would bring a second copy over a link that is slow
-// already.
+// Chooses any control host whose link is up, and keeps it while that stays so and it has the newest
+// document. A source that has announced the newest document is sending it already. So may be one
+// that has not answered over this link yet: asking another host as well would bring a second copy
+// over a link that is slow already.
 void Gateway::choose_source() {
     Version newest = 0;
     for (const auto& [address, dialer] : control_)
@@ -82,8 +82,8 @@
     source_ = fit.empty() ? "" : fit[random_() % fit.size()];
 }
 
-// The link is new: what was on its way over the one before is lost, and whoever kept silent there
-// is waited for no longer.
+// Called for a new link: messages in flight on the old link are lost, and a host that did not
+// answer on the old link is no longer waited for.
 void Gateway::forget_told(const std::string& address) {
     told_of_.erase(address);
     if (address == source_)
@@ -140,10 +140,11 @@
     const Time now = BootClock::now();
     for (const NodeId node : lease_ack.nodes)
         connect_to(address_of(node, config_.link_port));
-    // What is told unasked proves that the link brings something, not that it takes anything there.
+    // An unsolicited message proves only that the link delivers in this direction. An answer proves
+    // both directions.
     if (lease_ack.sequence != 0 || nodes_[address] != lease_ack.node)
         control_[address]->answered();
-    // The first answer tells who answers; only questions after it can prove a lease.
+    // The first answer names the node. Only renewals sent after it can extend the lease.
     if (nodes_[address] != lease_ack.node) {
         nodes_[address] = lease_ack.node;
         renew_due_ = {};
@@ -153,14 +154,14 @@
     told_of_[address] = lease_ack.table;
     if (lease_ack.leader != NoNode)
         leader_ = lease_ack.leader;
-    // By then the source has told of a new document too, or another host is asked for it.
+    // By the next renewal the source has announced the new document too, or another one is chosen.
     if (lease_ack.table > document_.index || (lease_.behind() && !was_behind))
         renew_due_ = std::min(renew_due_, now + RenewBehindEvery);
     learn_share(lease_ack);
     note_lease(now);
 }
 
-// This host's part of all calls under way; an equal part where it has none.
+// Updates this host's share of all calls in flight; an equal share where it has no calls.
 void Gateway::learn_share(const LeaseAck& lease_ack) {
     if (lease_ack.sequence != 0 && lease_ack.in_flight_total > 0 && !calls_.empty()) {
         const double seen = static_cast<double>(calls_.size()) /
@@ -182,8 +183,8 @@
     settle_held(BootClock::now());
 }
 
-// To the control host that leads, which tells each entry host of the others. Whoever has nothing
-// under way says so once.
+// Sends this host's load report to the leading control host, which sends each entry host the load
+// of the others. A host that becomes idle sends one empty report.
 void Gateway::tell_shares(Time now) {
     tell_due_ = now + std::max(LoadReportInterval, tell_every_);
     const auto leader = control_.find(address_of(leader_, config_.link_port));
@@ -196,7 +197,7 @@
     told_shares_ = has_some;
 }
 
-// Never back to an older version, whoever offers it.
+// Ignores a document that is older than the one in force.
 void Gateway::on_document(const DocumentPush& push) {
     if (push.document.version <= document_.version || push.document.index <= document_.index)
         return;
@@ -222,7 +223,8 @@
 
 // ---- endpoints
 
-// A host that has been in service for long knows better.
+// Adds the cached endpoints of a control host that has restarted. A host that has been in service
+// for some time has newer reports and ignores them.
 void Gateway::on_remembered(const EndpointsRestored& remembered) {
     const Time now = BootClock::now();
     if (ever_in_service_ && !discovering_endpoints(now))
@@ -247,7 +249,7 @@
         directory_.registry().forget(id);
 }
 
-// A call that waits for an endpoint may find one among the changes.
+// Merges reports, then retries the calls that wait for an endpoint.
 void Gateway::on_changes(const EndpointChanges& changes) {
     const Time now = BootClock::now();
     bool changed = false;
@@ -261,7 +263,8 @@
             if (const auto* item = directory_.registry().find(report.id))
                 forget_connections(item->report);
     }
-    // Ended by another's word: a later start under their name, or one that told no start.
+    // Endpoints that another report has ended: one of a later incarnation under their name, or one
+    // without a process start.
     for (const EndpointId& id : directory_.registry().take_resolved()) {
         changed = true;
         if (const auto* item = directory_.registry().find(id))
@@ -273,8 +276,8 @@
         call->tick(now);
 }
 
-// One control host alone is asked at first: a host that has just begun lacks everything that any of
-// them has.
+// At first only the source is asked for ranges: a host that has just started lacks all endpoints,
+// and would otherwise get them from each control host.
 void Gateway::on_digests(const std::string& address, const RegistryDigests& digests) {
     const auto wanted =
         repair_.compare(address, digests.ranges, directory_.registry().range_digests(),
@@ -283,7 +286,8 @@
         control_[address]->send(RangesRequested{wanted});
 }
 
-// Not only at the next digests: these come once a second, and callers wait.
+// Asks for the ranges that control hosts agree upon. Does not wait for the next digests, which come
+// once a second while callers wait.
 void Gateway::ask_for_agreed(Time now) {
     if (!discovering_endpoints(now))
         return;
@@ -292,18 +296,20 @@
         control_[ask->host]->send(RangesRequested{ask->ranges});
 }
 
-// Those to a newer start at the address are as good as before.
+// Closes the idle connections to an ended endpoint, unless another incarnation has its name or
+// address: connections to that one stay usable.
 void Gateway::forget_connections(const EndpointReport& report) {
     if (!directory_.registry().replaced(report))
         pool_->forget(report.address);
 }
 
-// Control hosts that lost everything with this one hear of each endpoint within a beat.
+// After a loss of all registries, control hosts receive a report of each endpoint within one
+// heartbeat interval.
 bool Gateway::discovering_endpoints(Time now) const {
     return now - in_service_since_ < config_.bounds.beat + BeatSlack;
 }
 
-// What was only remembered is not worth a second try.
+// A cached endpoint without a report since is removed at its first failed connection.
 void Gateway::unreachable(const EndpointId& id) {
     tell_suspicion(id, BootClock::now());
     if (unconfirmed_.erase(id) > 0)
--- a/src/process/gatewaylimits.cpp
+++ b/src/process/gatewaylimits.cpp
@@ -1,12 +1,13 @@
-// The side of Gateway that hears what endpoints say of themselves in their answers: limits, rests
-// and their leaving. It tells control, and takes the parts of limits that control lends.
+// Run by liftweir-site-entry: applies the limits, back-off times and shutdown notices that
+// endpoints send in their answers, reports them to control hosts, and takes this host's shares of
+// the limits.
 
 #include "process/gateway.h"
 #include "process/logging.h"
 
 namespace liftweir {
 
-// A loan is asked for at once, not only with the next renewal.
+// Renews at once, so that this host gets its share of a new limit soon.
 void Gateway::limit_changed(const EndpointId& id, const char* from) {
     const double limit = directory_.limits().book().limit(id);
     log(LogLevel::Info, "endpoint limit",
@@ -25,7 +26,7 @@
         {{"endpoint", text_of(id)}, {"what", what}, {"why", why}});
 }
 
-// What runs there goes on.
+// Requests in flight at the endpoint continue.
 void Gateway::note_leaving(const EndpointId& id) {
     if (!directory_.note_leaving(id, BootClock::now()))
         return;
@@ -62,7 +63,7 @@
     tell_limits(BootClock::now());
 }
 
-// All of them each time: they are few, and a control host that has just begun knows none.
+// Sends all limits each time: they are few, and a control host that has just started knows none.
 void Gateway::tell_limits(Time now) {
     const ReportedLimits& book = directory_.limits().book();
     if (!book.empty())
@@ -76,7 +77,8 @@
             limit_changed(word.endpoint, "control");
 }
 
-// What was on its way for long has ended sooner: the lender counts from when it was asked, too.
+// The share expires a fixed time after its renewal was sent, however long the answer took. The
+// leader counts that time from when it received the renewal, so it never expires a share earlier.
 void Gateway::on_loans(const std::string& address, const LimitShares& lent) {
     const auto node = nodes_.find(address);
     if (node == nodes_.end())
--- a/src/process/gatewayquarantine.cpp
+++ b/src/process/gatewayquarantine.cpp
@@ -1,5 +1,6 @@
-// The side of Gateway that holds back requests which end the endpoints that run them. What one call
-// meets, the other entry hosts have to know: the request comes again at any of them.
+// Run by liftweir-site-entry: quarantines requests that crash the endpoints which run them. Crashes
+// that one call meets are reported to all entry hosts, since the request may be retried at any of
+// them.
 
 #include "process/gateway.h"
 #include "process/logging.h"
@@ -8,7 +9,8 @@
 
 namespace liftweir {
 
-// An endpoint that ends breaks all its calls off in one turn of the loop: told together.
+// An endpoint that crashes aborts all its calls in one turn of the event loop. They are reported in
+// one message.
 void Gateway::aborted(const AbortedRequest& request, const EndpointId& id) {
     if (cut_off_.empty())
         asio::post(io_, [this] { tell_cut_off(); });
@@ -32,7 +34,7 @@
     send_to_control(SuspectRequests{{}, {content}});
 }
 
-// A control host that has just begun learns from entry hosts what it knew.
+// A control host that has restarted gets back from entry hosts what it knew before.
 void Gateway::tell_suspicions(const std::string& address) {
     const std::vector<SuspectRequest> known = quarantine_.suspects_to_send(BootClock::now());
     if (!known.empty())
@@ -54,7 +56,7 @@
         {{"content", text_of(content)},
          {"ends", std::to_string(held.ends)},
          {"left_ms", std::to_string(held.left_ms)}});
-    // From the loop: this may run within one of the calls.
+    // Runs later from the event loop, since this function may have been called by one of the calls.
     asio::post(io_, [this] {
         for (const auto& call : calls())
             call->check_quarantine(BootClock::now());
