--- a/src/process/logging.cpp
+++ b/src/process/logging.cpp
@@ -1,3 +1,5 @@
+// Log output of all programs, by Boost.Log with a sink that never blocks.
+
 #include "process/logging.h"
 
 #include "process/clock.h"
@@ -23,16 +25,17 @@
 namespace blog = boost::log;
 using Severity = blog::trivial::severity_level;
 
-// About ten lines for each request of a busy entry host, and an eighth of a megabyte a second.
+// Enough for about ten lines for each request of a busy entry host; 0.125 MB a second.
 constexpr std::uint32_t LinesPerSecond = 600;
-// A pipe that polls as writable takes this many bytes without waiting (POSIX PIPE_BUF).
+// A pipe that polls as writable takes this many bytes without blocking (POSIX PIPE_BUF).
 constexpr std::size_t LongestLine = 4096;
 
 std::string process_name;
 bool on_terminal = false;
 LogBudget budget(LinesPerSecond);
 
-// Hands finished lines to standard output without ever waiting for its reader.
+// Writes formatted lines to standard output and drops those for which it would block: a reader that
+// has stopped must not stop the process.
 class NonBlockingBackend
     : public blog::sinks::basic_formatted_sink_backend<char, blog::sinks::synchronized_feeding> {
   public:
--- a/src/process/metricnames.h
+++ b/src/process/metricnames.h
@@ -1,3 +1,6 @@
+// The table of all metrics of all programs, with their units and meanings. docs/METRICS.md and the
+// HELP lines of /metrics are generated from it.
+
 #ifndef METRICNAMES_H_INCLUDED
 #define METRICNAMES_H_INCLUDED
 
@@ -7,10 +10,10 @@
 
 namespace liftweir {
 
-// How a metric is read: a count since the start, a present value, or a distribution.
+// A count since the start of the process, a present value, or a distribution.
 enum class MetricKind : unsigned char { Counter, Gauge, Histogram };
 
-// What a metric tells. The page docs/METRICS.md and the HELP lines of /metrics come from it.
+// A metric's row in the table.
 struct MetricInfo {
     std::string_view name;
     MetricKind kind;
@@ -20,11 +23,11 @@
     std::string_view meaning;
 };
 
-// All metrics, in the order of the page.
+// All metrics, in the order of docs/METRICS.md.
 const std::vector<MetricInfo>& metric_table();
-// Null where the table has no such metric.
+// The metric of this name; null where the table has none.
 const MetricInfo* find_metric(std::string_view name);
-// The page of all metrics, in Markdown.
+// The content of docs/METRICS.md.
 std::string metrics_page();
 
 } // namespace liftweir
--- a/src/process/metrics.cpp
+++ b/src/process/metrics.cpp
@@ -1,3 +1,5 @@
+// Metrics of all programs: histograms by Boost.Histogram, and the text of /metrics.
+
 #include "process/metrics.h"
 
 #include "connection/link.h"
@@ -17,7 +19,7 @@
 
 namespace bh = boost::histogram;
 
-// From 10 us to 100 s, ten bins a decade: a quantile is exact to 26 %.
+// From 10 us to 100 s with ten bins a decade: quantiles are exact to 26 %.
 constexpr unsigned Bins = 70;
 constexpr double Lowest = 1e-5;
 constexpr double Highest = 100;
@@ -75,7 +77,7 @@
 
 void LatencyHistogram::print(const std::string& name, const std::string& labels,
                              std::string& out) const {
-    constexpr int BinsPerLine = 5; // every half decade is enough for a dashboard
+    constexpr int BinsPerLine = 5; // two lines a decade are enough for a dashboard
     std::uint64_t seen = impl_->at(-1);
     std::ostringstream text;
     for (int bin = 0; bin < static_cast<int>(Bins); ++bin) {
--- a/src/process/metrics.h
+++ b/src/process/metrics.h
@@ -1,3 +1,6 @@
+// Counters, gauges and histograms of all programs, served at /metrics in the Prometheus text
+// format.
+
 #ifndef METRICS_H_INCLUDED
 #define METRICS_H_INCLUDED
 
@@ -27,7 +30,7 @@
     LatencyHistogram();
     ~LatencyHistogram();
     void add(double seconds);
-    // Upper edge of the bin in which the quantile falls; 0 where nothing was added.
+    // Upper edge of the bin that contains the quantile; 0 for an empty histogram.
     double quantile(double q) const;
     void print(const std::string& name, const std::string& labels, std::string& out) const;
 
@@ -36,7 +39,7 @@
     std::unique_ptr<Impl> impl_;
 };
 
-// Everything that /metrics shows. Registering takes a lock; adding to a metric does not.
+// All metrics of the process. Registering a metric takes a lock; adding to it does not.
 class Metrics {
   public:
     static Metrics& instance();
@@ -45,9 +48,9 @@
     Counter& counter(const std::string& name, const std::string& labels = "");
     LatencyHistogram& histogram(const std::string& name, const std::string& labels = "");
     void gauge(const std::string& name, std::function<double()> read, const void* owner = nullptr);
-    // What the owner registered is read no more.
+    // Removes the gauges that the owner registered.
     void drop_gauges(const void* owner);
-    // Prometheus text format.
+    // All metrics in the Prometheus text format.
     std::string text() const;
 
   private:
@@ -63,7 +66,8 @@
     std::map<std::string, Gauge> gauges_;
 };
 
-// Gauges that read from an object, for as long as it lives: its last member.
+// Gauges that read from an object. Declared as its last member, so that they are removed before the
+// members that they read are destroyed.
 class OwnedGauges {
   public:
     OwnedGauges() = default;
@@ -75,7 +79,7 @@
     }
 };
 
-// Processor seconds and resident bytes of this process.
+// CPU time in seconds and resident memory in bytes of this process.
 double processor_seconds();
 double resident_bytes();
 
--- a/src/process/program.cpp
+++ b/src/process/program.cpp
@@ -1,3 +1,5 @@
+// Start-up of all server programs: command line, settings file and signals.
+
 #include "process/program.h"
 
 #include "process/logging.h"
@@ -12,7 +14,7 @@
 namespace {
 
 constexpr const char* VersionText = "liftweir 0.1.0";
-// A settings file that changes without a signal is noticed this soon.
+// How often the settings file is checked for a change without a signal.
 constexpr auto SettingsFilePoll = std::chrono::seconds(2);
 
 } // namespace
--- a/src/process/program.h
+++ b/src/process/program.h
@@ -1,3 +1,5 @@
+// Start-up code of all server programs: command line, settings file, signals and exit codes.
+
 #ifndef PROGRAM_H_INCLUDED
 #define PROGRAM_H_INCLUDED
 
@@ -11,30 +13,31 @@
 
 namespace liftweir {
 
-// Exit codes of all programs.
+// Exit codes of the programs.
 constexpr int ExitOk = 0;
 constexpr int ExitFailed = 1;
 constexpr int ExitBadSettings = 2;
 constexpr int ExitStorage = 3;
 
-// Reads the command line: the settings file, or nothing where the program must not go on; then the
-// exit code stands in `exit_code`. `fallback` is used where the command line names no file.
 struct CommandLine {
     std::string settings_file;
     bool check_only = false;
 };
+// Reads the command line. Returns nothing where the program must exit, and sets `exit_code`.
+// `fallback` is the settings file where the command line names none; it may be null.
 std::optional<CommandLine> read_command_line(const std::string& program, const char* fallback,
                                              int argc, const char** argv, int& exit_code);
 
-// Reads the command line and the settings file of a server program. Prints what is wrong and
-// leaves the exit code in `exit_code` where the program must not go on.
+// Reads the command line and the settings file of liftweir-control, -entry or -agent, and sets up
+// the log output. Returns nothing where the program must exit: then errors are printed and
+// `exit_code` is set.
 std::optional<ProcessConfig> read_program_config(Program program, int argc, const char** argv,
                                                  int& exit_code);
 
-// Runs the loop until it is stopped; SIGTERM and SIGINT call `on_signal`.
+// Runs the event loop until it is stopped. SIGTERM and SIGINT call `on_signal`.
 void run_until_stopped(asio::io_context& io, const std::function<void()>& on_signal);
 
-// Calls `reload` on SIGHUP, and when the file's time of change moves without a signal.
+// Calls `reload` on SIGHUP, and where the file's modification time changes without a signal.
 void watch_settings_file(asio::io_context& io, const std::string& file,
                          std::function<void()> reload);
 
--- a/src/process/siteprogram.cpp
+++ b/src/process/siteprogram.cpp
@@ -1,3 +1,5 @@
+// Start-up of liftweir-site-control and liftweir-site-entry.
+
 #include "process/siteprogram.h"
 
 #include "process/logging.h"
--- a/src/process/siteprogram.h
+++ b/src/process/siteprogram.h
@@ -1,3 +1,6 @@
+// Start-up code of liftweir-site-control and liftweir-site-entry, the programs of deployments whose
+// endpoints register themselves.
+
 #ifndef SITEPROGRAM_H_INCLUDED
 #define SITEPROGRAM_H_INCLUDED
 
@@ -13,26 +16,26 @@
 
 namespace liftweir {
 
-// What a program needs to start where endpoints register themselves.
+// The settings of a program at its start, and the file that they come from.
 struct FleetProgram {
     SiteConfig config;
     std::string settings_file;
 };
 
-// Reads the command line and the settings file. Prints what is wrong and leaves the exit code in
-// `exit_code` where the program must not go on. `fallback` is the settings file where the command
-// line names none; it may be null.
+// Reads the command line and the settings file. Returns nothing where the program must exit: then
+// errors are printed and `exit_code` is set. `fallback` is the settings file where the command line
+// names none; it may be null.
 std::optional<FleetProgram> read_fleet_program(const std::string& name, const char* fallback,
                                                int argc, const char** argv, int& exit_code);
 
-// Hands on the settings each time that their file changes, unless they are wrong.
+// Calls `changed` with the new settings each time that their file changes and is valid.
 void watch_site_config(asio::io_context& io, const std::string& file,
                        std::function<void(const SiteConfig&)> changed);
 
-// Says in the log that the program has started.
+// Logs that the program has started.
 void log_started(const SiteConfig& config);
 
-// Serves this process's metrics; null where the address is empty.
+// Serves this process's metrics. Returns null where the address is empty.
 std::unique_ptr<HttpServer> serve_metrics(asio::io_context& io, const std::string& address);
 
 } // namespace liftweir
