--- a/tests/unit/endpointstart_test.cpp
+++ b/tests/unit/endpointstart_test.cpp
@@ -1,5 +1,5 @@
-// Endpoints that start again under the names that they had, and reports of other writers, as
-// several hosts hear of them.
+// Endpoints that restart under their old names, and reports that no endpoint can have sent, as
+// several hosts receive them.
 
 #include "platform/json.h"
 #include "platform/workers.h"
@@ -45,7 +45,7 @@
     return item != nullptr && item->report.phase != EndpointPhase::Gone;
 }
 
-// ---- starts under one name
+// ---- incarnations under one name
 
 TEST(EndpointStart, ALaterStartIsKnownAtOnceThoughItsCountsBeginAnew) {
     Registry registry;
@@ -83,7 +83,7 @@
     EXPECT_TRUE(stands(registry, start_of("i-1", 2)));
 }
 
-// A deregistration that names no start reaches one host, and the others hear of it from there.
+// A deregistration without a process start reaches one host, which forwards it to the others.
 TEST(EndpointStart, ADeregistrationWithoutAStartEndsTheOneThatIsKnown) {
     Registry registry;
     registry.merge(report_of(start_of("i-1", 1), 9), Start);
@@ -94,11 +94,12 @@
     EXPECT_FALSE(stands(registry, start_of("i-1", 1)));
     EXPECT_EQ(registry.take_resolved(), std::vector<EndpointId>{start_of("i-1", 1)});
     registry.merge(report_of(start_of("i-1", 2), 1), Start + seconds(2));
-    EXPECT_FALSE(registry.merge(gone, Start + milliseconds(10))); // once more, in a full copy
+    EXPECT_FALSE(registry.merge(gone, Start + milliseconds(10))); // again, in a copy of a range
     EXPECT_TRUE(stands(registry, start_of("i-1", 2)));
 }
 
-// A host that has just begun hears of the end first, and of the endpoint from another host later.
+// A host that has just started may receive the deregistration before the report that another host
+// forwards.
 TEST(EndpointStart, WhoEndedBeforeItWasKnownStaysEnded) {
     Registry registry;
     registry.mark_gone("i-1", Start);
@@ -125,8 +126,8 @@
     EXPECT_FALSE(stands(registry, start_of("i-1", 1)));
 }
 
-// Several starts of two names in a row, at one address or at their own, whose reports reach any
-// hosts in any order, some twice; what hosts learn reaches the others in any order.
+// Several incarnations under two names, whose reports reach the hosts in any order, some twice. The
+// hosts exchange their registries in any order.
 class StartsInARow {
   public:
     void tell(const std::string& name, std::uint64_t start, Time now) {
@@ -158,7 +159,7 @@
     }
 
   private:
-    // At most one start of a name stands, and it is the latest that the host has heard of.
+    // At most one incarnation of a name is not gone, and it is the latest that the host knows.
     void check_order(Time) {
         for (const Registry& host : hosts_)
             for (const auto& [id, item] : host.items())
@@ -194,12 +195,13 @@
     EXPECT_FALSE(registry.remember(report_of(start_of("i-1", 1), 9), Start));
     EXPECT_TRUE(stands(registry, start_of("i-1", 2)));
     EXPECT_FALSE(stands(registry, start_of("i-1", 1)));
-    // Found by reading: the remembered start was told of as ended, and was not there any more.
+    // Every id that is returned as resolved must still be in the registry. A cached one was once
+    // returned after it had been removed.
     for (const EndpointId& id : registry.take_resolved())
         EXPECT_NE(registry.find(id), nullptr) << text_of(id);
 }
 
-// ---- reports of other writers
+// ---- reports that no endpoint can have sent
 
 Json::Value proper() {
     return *platform::parse_object(
@@ -314,7 +316,7 @@
     RC_ASSERT(registry.merge(*report, Start));
 }
 
-// Another control host, or a file from before a restart, may hold what no endpoint has said.
+// Another control host, or the file from before a restart, may hold invalid reports.
 TEST(ForeignReport, IsTakenOverFromNobody) {
     std::vector<EndpointReport> strange(5, report_of("i-2", 1));
     strange[0].service.clear();
--- a/tests/unit/fleet_test.cpp
+++ b/tests/unit/fleet_test.cpp
@@ -1,4 +1,5 @@
-// Membership of control hosts and registrations of endpoints.
+// Control hosts as nodes, learners and voters, registrations of endpoints, budgets, load forecasts
+// and the settings file, as used where endpoints register themselves.
 
 #include "connection/codec.h"
 #include "process/loadbudget.h"
@@ -26,7 +27,7 @@
 
 constexpr Time Start{};
 
-// ---- node numbers
+// ---- nodes and the replicated log
 
 TEST(Node, AWipedHostIsAnotherNode) {
     MemStorage disk;
@@ -42,7 +43,7 @@
     EXPECT_EQ(address_of(*again, 7340), "10.1.0.4:7340");
 }
 
-// After a loss of power nobody leads: the first election does not wait for a leader that may live.
+// After a power loss of all hosts there is no leader, so the first election uses shorter timeouts.
 TEST(Raft, StandsForElectionSoonerUntilALeaderWasHeard) {
     RaftTuning tuning;
     tuning.first_election_min = milliseconds(100);
@@ -66,7 +67,7 @@
     EXPECT_FALSE(stands(now + milliseconds(310), milliseconds(380)));
 }
 
-// A leader of its own with 200 entries of 64 KB, as a new host finds it.
+// A leader without other voters, with a log of 200 entries of 64 KB and a new learner.
 class LongLog {
   public:
     static constexpr std::size_t EntryBytes = 64u << 10;
@@ -82,7 +83,7 @@
     }
     Raft& raft() { return raft_; }
     Time now() const { return now_; }
-    // What the leader sends within the next 50 ms.
+    // Advances the time by 50 ms and returns what the leader sends.
     std::vector<RaftEnvelope> step() {
         now_ += milliseconds(50);
         raft_.tick(now_);
@@ -100,12 +101,12 @@
 };
 
 TEST(Raft, AHostThatDoesNotAnswerIsSentLittle) {
-    // As much as a link of 40 Mbit/s carries in half a second.
+    // What a link of 40 Mbit/s carries in about half a second.
     constexpr std::size_t MostUnderWay = 2u << 20;
     LongLog leader;
     std::size_t sent = 0;
     for (int n = 0; n < 40; ++n) {
-        // A first answer tells the leader that the host is empty; then nothing more comes.
+        // The first replies show the leader that the host's log is empty. Then it stops replying.
         if (n == 2)
             leader.raft().step(2, AppendReply{leader.raft().term(), false, 0, 0}, leader.now());
         if (n == 3)
@@ -165,13 +166,13 @@
         raft.step(2, AppendReply{raft.term(), true, match, 0}, leader.now());
         snapshots += snapshots_in(leader.step());
     }
-    // One more may be due by time.
+    // One more may be sent since the retry interval has passed.
     EXPECT_LE(snapshots, 2u);
     raft.step(2, AppendReply{raft.term(), true, raft.snapshot().index, 0}, leader.now());
     EXPECT_EQ(raft.peer(2)->match, raft.snapshot().index);
 }
 
-// Pauses between copies of a snapshot double.
+// The pause before a snapshot is sent again doubles each time.
 TEST(Raft, AHostThatNeverAnswersIsSentFewSnapshots) {
     LongLog leader;
     leader.raft().compact({leader.raft().commit(), leader.raft().term(), {1}, "state"});
@@ -183,7 +184,7 @@
     EXPECT_LE(snapshots, 10u);
 }
 
-// A learner is kept up to date and counts for nothing.
+// A learner gets all entries but counts for no majority.
 TEST(Raft, LearnersReceiveAndDoNotCount) {
     const Time now = Start + seconds(1);
     Raft raft(1, {}, 7, {1}, {}, {}, {}, now);
@@ -302,7 +303,7 @@
     EXPECT_EQ(registry.find("1")->report.phase, EndpointPhase::Gone);
 }
 
-// The address itself says which of two incarnations it is.
+// A probe of the address shows which of two incarnations runs there.
 TEST(Registry, ANewIncarnationAtAnAddressEndsTheOneBefore) {
     Registry registry;
     registry.merge(report("1", 5), Start);
@@ -321,7 +322,7 @@
     EXPECT_EQ(registry.find("1")->report.phase, EndpointPhase::Gone);
 }
 
-// Reports reach every copy in another order, some twice. All copies end up the same.
+// Reports reach each copy in a different order, some twice. All copies end up equal.
 RC_GTEST_PROP(Registry, CopiesConverge, ()) {
     std::vector<EndpointReport> reports;
     const auto count = *rc::gen::inRange(1, 12);
--- a/tests/unit/gatewaylink_test.cpp
+++ b/tests/unit/gatewaylink_test.cpp
@@ -1,4 +1,4 @@
-// Links from an entry host to control hosts that go silent for good, without a reset.
+// Links from an entry host to control hosts that stop answering without closing the connection.
 
 #include "connection/link.h"
 #include "process/gateway.h"
@@ -25,7 +25,7 @@
     HttpHeaders own_answer_headers(const CallerRequest&, Duration) const override { return {}; }
 };
 
-// A control host that answers questions while it is told to.
+// A control host that answers lease renewals, except on the link in `deaf`.
 struct EntryHostsLink : testing::Test {
     EntryHostsLink() {
         listener.start([this](const Link::Ptr& link) { links.push_back(link); },
@@ -37,7 +37,7 @@
         gateway.start();
     }
 
-    // The table of metrics outlives the gateway, whose gauges would be read after its end.
+    // The metrics outlive the gateway, so gauges that read from it must be replaced.
     ~EntryHostsLink() override {
         for (const char* name :
              {"liftweir_calls_in_flight", "liftweir_requests_held", "liftweir_document_version",
@@ -101,12 +101,13 @@
     ASSERT_TRUE(run_until([&] { return answers >= 2; }, milliseconds(2500)));
     deaf = links.front();
     const int before = answers;
-    // A question leaves within 1 s, and the link is silent for 2.5 s more.
+    // A renewal is sent within 1 s, and the link is closed after 2.5 s more without a message.
     EXPECT_TRUE(run_until([&] { return answers > before; }, milliseconds(4000)));
     EXPECT_EQ(links.size(), 2u);
 }
 
-// The answers may stand behind a large document on a slow link: what brings bytes is not silent.
+// Answers may be queued behind a large document on a slow link, so a link that delivers bytes is
+// kept.
 TEST_F(EntryHostsLink, StaysWhileItBringsSomething) {
     ASSERT_TRUE(run_until([&] { return answers >= 2; }, milliseconds(2500)));
     deaf = links.front();
@@ -124,8 +125,8 @@
     EXPECT_EQ(links.size(), 1u);
 }
 
-// Two control hosts that have the document. The one that is asked for it first takes its time to
-// answer; the other one tells at once that it has it too.
+// Two control hosts that have the document. The one that is asked for it first answers late. The
+// other one announces at once that it has the document too.
 struct TwoControlHosts : testing::Test {
     struct Host {
         Host(TwoControlHosts& all, const std::string& ip, NodeId number)
@@ -192,7 +193,7 @@
     EXPECT_GT(source->asked_for_document, 0);
 }
 
-// One that goes silent is not waited for.
+// A source that stops answering is replaced.
 TEST_F(TwoControlHosts, AnotherOneIsAskedWhereTheFirstNeverAnswers) {
     gateway.start();
     run_for(milliseconds(5000));
--- a/tests/unit/metrics_test.cpp
+++ b/tests/unit/metrics_test.cpp
@@ -1,3 +1,5 @@
+// The table of metrics, and the text of /metrics.
+
 #include "process/metricnames.h"
 #include "process/metrics.h"
 
@@ -26,7 +28,7 @@
               std::string::npos);
 }
 
-// The page read gauges of objects that tests had destroyed: a crash once one of them walked a map.
+// Gauges that outlive the object they read from crash the process at the next read of /metrics.
 TEST(MetricTable, GaugesOfAnObjectEndWithIt) {
     Metrics::instance().gauge("liftweir_voters", [] { return 7.0; });
     {
