--- a/src/process/agent.cpp
+++ b/src/process/agent.cpp
@@ -16,21 +16,21 @@
 
 namespace {
 
-constexpr Duration TickEvery = std::chrono::milliseconds(25);
+constexpr Duration TickInterval = std::chrono::milliseconds(25);
 // The event loop never blocks for this long by itself: a longer gap between two ticks means that
 // the process was paused.
-constexpr Duration PauseSuspected = std::chrono::milliseconds(400);
-constexpr Duration ReportEvery = std::chrono::milliseconds(500);
+constexpr Duration ProcessPauseThreshold = std::chrono::milliseconds(400);
+constexpr Duration StatusInterval = std::chrono::milliseconds(500);
 // The agent turns to the next control host when the present one has not answered for this long.
-constexpr Duration ControlSilence = std::chrono::milliseconds(1200);
-constexpr Duration ResetPause = std::chrono::milliseconds(500);
+constexpr Duration ControlTimeout = std::chrono::milliseconds(1200);
+constexpr Duration EndpointRetryPause = std::chrono::milliseconds(500);
 // Failed resets before the agent logs a warning. An engine that starts together with its agent is
 // not reachable for the first ones.
-constexpr int ResetsUntilTold = 5;
+constexpr int FailedResetsUntilWarning = 5;
 // Entry hosts take this host out of their routing tables within this time after its shutdown
 // notice. Attempts that still arrive later are rejected.
-constexpr Duration LeavingGrace = std::chrono::milliseconds(1500);
-constexpr Duration LeavingDeadline = std::chrono::seconds(120);
+constexpr Duration ShutdownNoticeTime = std::chrono::milliseconds(1500);
+constexpr Duration DrainDeadline = std::chrono::seconds(120);
 constexpr std::size_t DatagramBytes = 512;
 
 std::unique_ptr<Endpoint> make_endpoint(asio::io_context& io, const ProcessConfig& config) {
@@ -64,8 +64,8 @@
       endpoint_(make_endpoint(io, config)),
       ping_socket_(io),
       ping_buffer_(DatagramBytes, '\0'),
-      ticker_(io, TickEvery, [this] { tick(); }),
-      queue_(DefaultSlots, DefaultQueue) {
+      ticker_(io, TickInterval, [this] { tick(); }),
+      queue_(DefaultSlots, DefaultQueueLength) {
     Timeline::instance().name(config.name, identity_.incarnation);
 }
 
@@ -96,8 +96,8 @@
         control_.push_back(std::make_unique<Dialer>(io_, address, identity_, keys_));
         control_.back()->start(
             [this, index](const Link::Ptr&) {
-                if (index == current_)
-                    report_due_ = {};
+                if (index == current_control_)
+                    status_due_ = {};
             },
             [this, index](const Link::Ptr&, WireMessage&& m) { on_control(index, std::move(m)); },
             [](const Link::Ptr&) {});
@@ -105,7 +105,7 @@
     Metrics::instance().gauge("liftweir_in_flight",
                               [this] { return static_cast<double>(in_flight()); });
     record({.kind = EventKind::ProcessStarted, .host = config_.name, .detail = "agent"});
-    last_tick_ = heard_ = BootClock::now();
+    last_tick_ = last_order_at_ = BootClock::now();
     receive_datagram();
     ticker_.start();
     reset_endpoint();
@@ -118,10 +118,10 @@
         endpoint_reset_ = ok;
         if (ok)
             return;
-        if (++failed_resets_ == ResetsUntilTold)
+        if (++failed_resets_ == FailedResetsUntilWarning)
             log(LogLevel::Warning, "the engine can not be emptied; the host is not registered",
                 {{"engine", config_.engine_url}});
-        const auto timer = std::make_shared<asio::steady_timer>(io_, ResetPause);
+        const auto timer = std::make_shared<asio::steady_timer>(io_, EndpointRetryPause);
         timer->async_wait([this, timer](asio::error_code error) {
             if (!error)
                 reset_endpoint();
@@ -135,11 +135,11 @@
     if (gate_)
         for (const DuePing& due : gate_->due_pings(now))
             send_datagram(due.address, due.ping);
-    watch_endpoint(now);
+    probe_endpoint_if_due(now);
     check_gate(now);
-    start_waiting();
-    if (now >= report_due_)
-        report();
+    start_queued();
+    if (now >= status_due_)
+        send_status();
     maybe_stop();
 }
 
@@ -147,11 +147,11 @@
 // clock runs on during the pause. Here the pause is logged and the next report is sent at once.
 void Agent::check_pause(Time now) {
     const Duration gap = now - std::exchange(last_tick_, now);
-    if (gap < PauseSuspected)
+    if (gap < ProcessPauseThreshold)
         return;
     log(LogLevel::Warning, "the process was paused",
         {{"milliseconds", std::to_string(to_millis(gap))}});
-    report_due_ = {};
+    status_due_ = {};
 }
 
 void Agent::check_gate(Time now) {
@@ -172,10 +172,10 @@
                 .host = config_.name,
                 .group = gate_ ? gate_->assignment().epoch : fence_,
                 .cause = missing.empty() ? "released" : "no ping reply from " + missing});
-        break_all(FailureKind::EndpointFailed);
+        fail_all(FailureKind::EndpointFailed);
     }
-    tell_gate();
-    report_due_ = {};
+    send_gate_state();
+    status_due_ = {};
 }
 
 void Agent::leave() {
@@ -189,8 +189,8 @@
     }
     record({.kind = EventKind::ProcessDraining, .host = config_.name});
     leaving_since_ = BootClock::now();
-    tell_gate();
-    report_due_ = {};
+    send_gate_state();
+    status_due_ = {};
 }
 
 void Agent::maybe_stop() {
@@ -200,9 +200,9 @@
     const bool idle = in_flight() == 0 && (!gate_ || phase_ == AgentPhase::Idle);
     if (!idle)
         drained_since_ = now;
-    const bool late = now - leaving_since_ > LeavingDeadline;
-    const bool settled =
-        idle && now - leaving_since_ > LeavingGrace && now - drained_since_ > LeavingGrace / 3;
+    const bool late = now - leaving_since_ > DrainDeadline;
+    const bool settled = idle && now - leaving_since_ > ShutdownNoticeTime &&
+                         now - drained_since_ > ShutdownNoticeTime / 3;
     if (!late && !settled)
         return;
     record({.kind = EventKind::ProcessStopped,
@@ -231,35 +231,35 @@
     return s;
 }
 
-void Agent::report() {
+void Agent::send_status() {
     const Time now = BootClock::now();
-    report_due_ = now + ReportEvery;
+    status_due_ = now + StatusInterval;
     if (!endpoint_reset_ || control_.empty())
         return;
-    if (now - heard_ > ControlSilence) {
-        current_ = (current_ + 1) % control_.size();
-        heard_ = now;
+    if (now - last_order_at_ > ControlTimeout) {
+        current_control_ = (current_control_ + 1) % control_.size();
+        last_order_at_ = now;
     }
-    control_[current_]->send(status());
+    control_[current_control_]->send(status());
 }
 
 void Agent::on_control(std::size_t index, WireMessage&& message) {
-    if (const auto* elsewhere = std::get_if<NotLeaderReply>(&message)) {
+    if (const auto* not_leader = std::get_if<NotLeaderReply>(&message)) {
         const auto leader =
-            std::find(control_nodes_.begin(), control_nodes_.end(), elsewhere->leader);
-        if (index != current_ || leader == control_nodes_.end())
+            std::find(control_nodes_.begin(), control_nodes_.end(), not_leader->leader);
+        if (index != current_control_ || leader == control_nodes_.end())
             return;
         const auto next = static_cast<std::size_t>(leader - control_nodes_.begin());
-        if (next != current_)
-            report_due_ = {};
-        current_ = next;
+        if (next != current_control_)
+            status_due_ = {};
+        current_control_ = next;
     } else if (const auto* order = std::get_if<AgentOrder>(&message)) {
         // A lower term comes from a deposed leader that has not noticed yet.
         if (order->term < term_)
             return;
         term_ = order->term;
-        heard_ = BootClock::now();
-        current_ = index;
+        last_order_at_ = BootClock::now();
+        current_control_ = index;
         on_order(*order);
     }
 }
@@ -267,18 +267,18 @@
 void Agent::on_order(const AgentOrder& order) {
     registered_ = order.registered;
     if (!order.registered) {
-        report_due_ = std::min(report_due_, BootClock::now() + ReportEvery / 5);
+        status_due_ = std::min(status_due_, BootClock::now() + StatusInterval / 5);
         return;
     }
     if (order.has_assignment) {
-        hold(order.assignment);
+        accept_assignment(order.assignment);
     } else if (order.fence != NoEpoch && (order.fence > fence_ || gate_)) {
         drop_group(order.fence, "released by control");
     }
 }
 
 // A released epoch, or a lower one, is never held again: an order for it was delayed.
-void Agent::hold(const Assignment& assignment) {
+void Agent::accept_assignment(const Assignment& assignment) {
     if (assignment.epoch <= fence_ || phase_ == AgentPhase::Releasing || endpoint_gone_)
         return;
     // An assignment without this incarnation is meant for an earlier process of this host.
@@ -293,8 +293,8 @@
         if (assignment.draining && !gate_->assignment().draining) {
             gate_->set_draining(true);
             phase_ = AgentPhase::Draining;
-            tell_gate();
-            report_due_ = {};
+            send_gate_state();
+            status_due_ = {};
         }
         return;
     }
@@ -320,11 +320,11 @@
             gate_->set_engine_ready(true);
             phase_ = gate_->assignment().draining ? AgentPhase::Draining : AgentPhase::Ready;
             record({.kind = EventKind::LoadFinished, .host = config_.name, .group = epoch});
-            report_due_ = {};
+            status_due_ = {};
             return;
         }
         record({.kind = EventKind::LoadFailed, .host = config_.name, .group = epoch});
-        const auto timer = std::make_shared<asio::steady_timer>(io_, ResetPause);
+        const auto timer = std::make_shared<asio::steady_timer>(io_, EndpointRetryPause);
         timer->async_wait([this, timer, epoch, current](asio::error_code error) {
             if (!error && current())
                 load(epoch);
@@ -337,20 +337,20 @@
     const Epoch held = gate_ ? gate_->assignment().epoch : NoEpoch;
     fence_ = std::max(fence_, fence);
     if (held == NoEpoch) {
-        report_due_ = {};
+        status_due_ = {};
         return;
     }
     gate_.reset();
     phase_ = AgentPhase::Releasing;
     check_gate(BootClock::now());
-    break_all(FailureKind::EndpointFailed);
+    fail_all(FailureKind::EndpointFailed);
     record({.kind = EventKind::HostReleased, .host = config_.name, .group = held, .cause = cause});
     endpoint_->release(held, [this](bool) {
         if (phase_ == AgentPhase::Releasing)
             phase_ = AgentPhase::Idle;
-        report_due_ = {};
+        status_due_ = {};
     });
-    report_due_ = {};
+    status_due_ = {};
 }
 
 // ---- pings between the members of a group
--- a/src/process/agent.h
+++ b/src/process/agent.h
@@ -37,7 +37,7 @@
     void leave();
 
   private:
-    struct Work {
+    struct AttemptState {
         Attempt attempt;
         Link::Ptr link;
         Time deadline{};
@@ -49,7 +49,7 @@
 
     // A started attempt that failed at the endpoint. The entry host is notified after a probe has
     // shown whether the endpoint's process is still there.
-    struct Failed {
+    struct FailedAttempt {
         AttemptId id;
         Link::Ptr link;
         Time started{};
@@ -58,7 +58,7 @@
     };
 
     static constexpr std::size_t DefaultSlots = 32;
-    static constexpr std::size_t DefaultQueue = 256;
+    static constexpr std::size_t DefaultQueueLength = 256;
 
     void reset_endpoint();
     void tick();
@@ -67,19 +67,19 @@
     void maybe_stop();
 
     // control hosts
-    void report();
+    void send_status();
     void on_control(std::size_t index, WireMessage&& message);
     void on_order(const AgentOrder& order);
-    void hold(const Assignment& assignment);
+    void accept_assignment(const Assignment& assignment);
     void load(Epoch epoch);
     void drop_group(Epoch fence, const std::string& cause);
     AgentStatus status() const;
 
     // the endpoint's process
-    void watch_endpoint(Time now);
+    void probe_endpoint_if_due(Time now);
     void probe_endpoint();
     void on_probed(Epoch epoch, EndpointHealth health);
-    void settle_failed(bool all);
+    void report_failed(bool all);
     void endpoint_ended();
     void await_endpoint();
     void on_endpoint_back();
@@ -97,16 +97,16 @@
                 Duration retry_after);
     void on_cancel(const AttemptId& id);
     void on_credit(const Credit& credit);
-    void start_waiting();
-    void start(Work& work);
-    void pass_on(Work& work);
+    void start_queued();
+    void start(AttemptState& work);
+    void send_chunks(AttemptState& work);
     void on_done(const AttemptId& id, const Expected<int>& result, bool started);
-    void break_all(FailureKind reason);
-    void remember(const AttemptId& id);
-    void tell_gate();
+    void fail_all(FailureKind reason);
+    void mark_seen(const AttemptId& id);
+    void send_gate_state();
     GateState gate_state() const;
     bool admits() const;
-    std::size_t in_flight() const { return work_.size() + failed_.size(); }
+    std::size_t in_flight() const { return attempts_.size() + failed_attempts_.size(); }
 
     asio::io_context& io_;
     ProcessConfig config_;
@@ -115,9 +115,9 @@
     std::unique_ptr<Endpoint> endpoint_;
     std::vector<std::unique_ptr<Dialer>> control_;
     std::vector<NodeId> control_nodes_;
-    std::size_t current_ = 0; // index of the control host that is believed to lead
-    Time heard_{};            // time of the last order from a leading control host
-    Time report_due_{};
+    std::size_t current_control_ = 0; // index of the control host that is believed to lead
+    Time last_order_at_{};            // time of the last order from a leading control host
+    Time status_due_{};
     Term term_ = 0;
     bool registered_ = false;
     bool endpoint_reset_ = false;
@@ -139,16 +139,16 @@
     Time leaving_since_{};
     Time drained_since_{};
 
-    std::vector<Failed> failed_;
+    std::vector<FailedAttempt> failed_attempts_;
     bool probing_ = false;
     bool endpoint_gone_ = false; // the endpoint's process ended and does not answer yet
     Time probe_due_{};
 
     FairQueue queue_;
-    std::map<AttemptId, std::unique_ptr<Work>> work_;
+    std::map<AttemptId, std::unique_ptr<AttemptState>> attempts_;
     // Ids of received and cancelled attempts: a delayed copy of one of them must not start.
-    std::set<AttemptId> seen_;
-    std::deque<AttemptId> seen_order_;
+    std::set<AttemptId> seen_attempts_;
+    std::deque<AttemptId> seen_attempts_order_;
 };
 
 } // namespace liftweir
--- a/src/process/agentloss.cpp
+++ b/src/process/agentloss.cpp
@@ -14,20 +14,20 @@
 
 // The end of an idle endpoint is noticed within this time. The end of a busy one is noticed at
 // once, since an attempt fails. Each probe costs two calls over the loopback interface.
-constexpr Duration WatchEvery = std::chrono::milliseconds(500);
+constexpr Duration ProbeInterval = std::chrono::milliseconds(500);
 // A request that crashes its engine mostly does so while it is parsed or prefilled. Where several
 // attempts were running, those older than this are not suspected, so that a crash does not end long
 // streams for good.
-constexpr Duration SuspectFor = std::chrono::seconds(2);
-constexpr Duration ReturnPoll = std::chrono::milliseconds(250);
+constexpr Duration SuspectAge = std::chrono::seconds(2);
+constexpr Duration RestartPollInterval = std::chrono::milliseconds(250);
 
 } // namespace
 
-void Agent::watch_endpoint(Time now) {
+void Agent::probe_endpoint_if_due(Time now) {
     const bool watched = !config_.service.empty() || (gate_ && gate_->engine_ready());
     if (now < probe_due_ || endpoint_gone_ || !watched)
         return;
-    probe_due_ = now + WatchEvery;
+    probe_due_ = now + ProbeInterval;
     probe_endpoint();
 }
 
@@ -35,9 +35,9 @@
     if (probing_)
         return;
     if (config_.service.empty() && (!gate_ || !gate_->engine_ready()))
-        return settle_failed(true);
+        return report_failed(true);
     probing_ = true;
-    for (Failed& failed : failed_)
+    for (FailedAttempt& failed : failed_attempts_)
         failed.probed = true;
     const Epoch epoch = gate_ ? gate_->assignment().epoch : NoEpoch;
     endpoint_->probe(epoch, [this, epoch](EndpointHealth health) { on_probed(epoch, health); });
@@ -49,22 +49,22 @@
     if (health == EndpointHealth::Ended && held == epoch && !endpoint_gone_)
         endpoint_ended();
     else
-        settle_failed(false);
-    if (!failed_.empty())
+        report_failed(false);
+    if (!failed_attempts_.empty())
         probe_endpoint(); // for attempts that failed after the last probe was sent
 }
 
 // Reports attempts as failed by themselves, after a probe has found the endpoint's process alive.
 // With `all`, also reports those that no probe has covered yet.
-void Agent::settle_failed(bool all) {
-    std::vector<Failed> later;
-    for (Failed& failed : std::exchange(failed_, {})) {
+void Agent::report_failed(bool all) {
+    std::vector<FailedAttempt> later;
+    for (FailedAttempt& failed : std::exchange(failed_attempts_, {})) {
         if (all || failed.probed)
             failed.link->send(Broken{failed.id, true, failed.kind});
         else
             later.push_back(std::move(failed));
     }
-    failed_ = std::move(later);
+    failed_attempts_ = std::move(later);
 }
 
 // Fails all attempts that were running in the process, since any of them may be the cause. The
@@ -72,9 +72,9 @@
 void Agent::endpoint_ended() {
     const Time now = BootClock::now();
     const Epoch epoch = gate_ ? gate_->assignment().epoch : NoEpoch;
-    auto lost = std::exchange(failed_, {});
-    std::erase_if(work_, [&](auto& item) {
-        Work& work = *item.second;
+    auto lost = std::exchange(failed_attempts_, {});
+    std::erase_if(attempts_, [&](auto& item) {
+        AttemptState& work = *item.second;
         if (!work.running)
             return false;
         endpoint_->cancel(work.call, item.first);
@@ -82,8 +82,8 @@
         lost.push_back({item.first, work.link, work.started});
         return true;
     });
-    for (const Failed& failed : lost) {
-        const bool suspect = lost.size() == 1 || now - failed.started < SuspectFor;
+    for (const FailedAttempt& failed : lost) {
+        const bool suspect = lost.size() == 1 || now - failed.started < SuspectAge;
         failed.link->send(Broken{failed.id, true, FailureKind::EndpointFailed, true, suspect});
         record({.kind = EventKind::EndpointEnded,
                 .host = config_.name,
@@ -97,33 +97,34 @@
     endpoint_gone_ = true;
     if (gate_)
         drop_group(epoch, "the endpoint's process ended");
-    tell_gate();
-    report_due_ = {};
+    send_gate_state();
+    status_due_ = {};
     await_endpoint();
 }
 
 // An engine starts empty, but the last load order may still be in flight to it. So the engine is
 // reset as after a restart of the agent before a group may use the host again.
 void Agent::await_endpoint() {
-    const auto again = [this] {
-        const auto timer = std::make_shared<asio::steady_timer>(io_, ReturnPoll);
+    const auto retry = [this] {
+        const auto timer = std::make_shared<asio::steady_timer>(io_, RestartPollInterval);
         timer->async_wait([this, timer](asio::error_code error) {
             if (!error)
                 await_endpoint();
         });
     };
-    const auto judge = [this, again](bool back) { back ? on_endpoint_back() : again(); };
+    const auto on_result = [this, retry](bool back) { back ? on_endpoint_back() : retry(); };
     if (config_.service.empty())
-        return endpoint_->reset(judge);
-    endpoint_->probe(NoEpoch, [judge](EndpointHealth h) { judge(h == EndpointHealth::Serving); });
+        return endpoint_->reset(on_result);
+    endpoint_->probe(NoEpoch,
+                     [on_result](EndpointHealth h) { on_result(h == EndpointHealth::Serving); });
 }
 
 void Agent::on_endpoint_back() {
     endpoint_gone_ = false;
-    probe_due_ = BootClock::now() + WatchEvery;
+    probe_due_ = BootClock::now() + ProbeInterval;
     record({.kind = EventKind::EndpointBack, .host = config_.name});
-    tell_gate();
-    report_due_ = {};
+    send_gate_state();
+    status_due_ = {};
 }
 
 } // namespace liftweir
--- a/src/process/agentwork.cpp
+++ b/src/process/agentwork.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t SeenKept = 200000;
+constexpr std::size_t MaxSeenAttempts = 200000;
 
 // Expected work of an attempt: its tokens where the entry host gave a hint, else 1.
 double cost_of(const Attempt& attempt) {
@@ -38,7 +38,7 @@
     return state;
 }
 
-void Agent::tell_gate() {
+void Agent::send_gate_state() {
     for (const Link::Ptr& link : entries_)
         link->send(gate_state());
 }
@@ -60,20 +60,20 @@
 void Agent::on_entry_down(const Link::Ptr& link) {
     entries_.erase(link);
     std::vector<AttemptId> orphans;
-    for (const auto& [id, work] : work_)
+    for (const auto& [id, work] : attempts_)
         if (work->link == link && (work->attempt.repeatable || !work->running))
             orphans.push_back(id);
     for (const AttemptId& id : orphans)
         on_cancel(id);
 }
 
-void Agent::remember(const AttemptId& id) {
-    if (!seen_.insert(id).second)
+void Agent::mark_seen(const AttemptId& id) {
+    if (!seen_attempts_.insert(id).second)
         return;
-    seen_order_.push_back(id);
-    if (seen_order_.size() > SeenKept) {
-        seen_.erase(seen_order_.front());
-        seen_order_.pop_front();
+    seen_attempts_order_.push_back(id);
+    if (seen_attempts_order_.size() > MaxSeenAttempts) {
+        seen_attempts_.erase(seen_attempts_order_.front());
+        seen_attempts_order_.pop_front();
     }
 }
 
@@ -81,7 +81,7 @@
     if (leaving_)
         return FailureKind::Draining;
     if (attempt.host != config_.name || attempt.incarnation != identity_.incarnation ||
-        seen_.contains(attempt.id))
+        seen_attempts_.contains(attempt.id))
         return FailureKind::NoEndpoint;
     if (endpoint_gone_)
         return FailureKind::NoEndpoint;
@@ -98,11 +98,11 @@
     const AttemptId id = attempt.id;
     if (const auto reason = refusal(attempt))
         return refuse(link, id, *reason, {});
-    remember(id);
+    mark_seen(id);
     if (attempt.slots > 0)
-        queue_.resize(attempt.slots, DefaultQueue);
+        queue_.resize(attempt.slots, DefaultQueueLength);
     const Time now = BootClock::now();
-    auto work = std::make_unique<Work>();
+    auto work = std::make_unique<AttemptState>();
     work->link = link;
     work->deadline = now + std::chrono::milliseconds(attempt.deadline_ms);
     const QueueItem item{id,
@@ -118,21 +118,21 @@
     const Admission admission = queue_.offer(item, now);
     if (!admission.admitted)
         return refuse(link, id, admission.reason, admission.retry_after);
-    work_.emplace(id, std::move(work));
+    attempts_.emplace(id, std::move(work));
     if (admission.shed) {
-        const auto shed = work_.find(*admission.shed);
-        if (shed != work_.end()) {
+        const auto shed = attempts_.find(*admission.shed);
+        if (shed != attempts_.end()) {
             refuse(shed->second->link, *admission.shed, FailureKind::Overloaded,
                    admission.retry_after);
-            work_.erase(shed);
+            attempts_.erase(shed);
         }
     }
-    start_waiting();
+    start_queued();
 }
 
 void Agent::refuse(const Link::Ptr& link, const AttemptId& id, FailureKind reason,
                    Duration retry_after) {
-    remember(id);
+    mark_seen(id);
     Metrics::instance()
         .counter("liftweir_refused_total", "reason=\"" + std::string(name_of(reason)) + "\"")
         .add();
@@ -141,7 +141,7 @@
                        static_cast<std::uint32_t>(queue_.waiting())});
 }
 
-void Agent::start_waiting() {
+void Agent::start_queued() {
     std::vector<QueueItem> expired;
     while (true) {
         // The gate is checked again right before each forward, since time has passed in the queue.
@@ -151,22 +151,22 @@
         const auto item = queue_.start_next(BootClock::now(), expired);
         if (!item)
             break;
-        const auto found = work_.find(item->id);
-        if (found == work_.end())
+        const auto found = attempts_.find(item->id);
+        if (found == attempts_.end())
             queue_.finished({}, 0);
         else
             start(*found->second);
     }
     for (const QueueItem& item : expired) {
-        const auto found = work_.find(item.id);
-        if (found == work_.end())
+        const auto found = attempts_.find(item.id);
+        if (found == attempts_.end())
             continue;
         refuse(found->second->link, item.id, FailureKind::DeadlineTooNear, {});
-        work_.erase(found);
+        attempts_.erase(found);
     }
 }
 
-void Agent::start(Work& work) {
+void Agent::start(AttemptState& work) {
     const AttemptId id = work.attempt.id;
     work.running = true;
     work.started = BootClock::now();
@@ -178,13 +178,13 @@
     static Counter& started = Metrics::instance().counter("liftweir_attempts_started_total");
     started.add();
     const auto with_work = [this, id](auto run) {
-        const auto found = work_.find(id);
-        if (found != work_.end())
+        const auto found = attempts_.find(id);
+        if (found != attempts_.end())
             run(*found->second);
     };
     EndpointCallbacks callbacks;
     callbacks.on_head = [with_work, id](int status, const std::string& type) {
-        with_work([&](Work& w) {
+        with_work([&](AttemptState& w) {
             w.link->send(Head{id, static_cast<std::uint32_t>(status), type});
             // Endpoints answer errors as plain JSON even where the request asked for a stream.
             if (type.find("event-stream") == std::string::npos && w.attempt.streamed)
@@ -193,9 +193,9 @@
     };
     callbacks.on_data = [this, with_work](std::string_view bytes) {
         bool taken = true;
-        with_work([&](Work& w) {
+        with_work([&](AttemptState& w) {
             taken = w.relay->take(bytes);
-            pass_on(w);
+            send_chunks(w);
         });
         return taken;
     };
@@ -205,17 +205,17 @@
     work.call = endpoint_->start(work.attempt, std::move(callbacks));
 }
 
-void Agent::pass_on(Work& work) {
+void Agent::send_chunks(AttemptState& work) {
     while (auto chunk = work.relay->next_chunk())
         work.link->send(*chunk);
 }
 
 void Agent::on_done(const AttemptId& id, const Expected<int>& result, bool started) {
-    const auto found = work_.find(id);
-    if (found == work_.end())
+    const auto found = attempts_.find(id);
+    if (found == attempts_.end())
         return;
     const auto work = std::move(found->second);
-    work_.erase(found);
+    attempts_.erase(found);
     queue_.finished(BootClock::now() - work->started, cost_of(work->attempt));
     const auto end = result ? work->relay->finish() : std::nullopt;
     if (end) {
@@ -226,23 +226,23 @@
     } else {
         const FailureKind kind = result ? FailureKind::EndpointFailed : result.error().kind;
         if (started && kind == FailureKind::EndpointFailed)
-            failed_.push_back({id, work->link, work->started, kind});
+            failed_attempts_.push_back({id, work->link, work->started, kind});
         else
             work->link->send(Broken{id, started, kind});
         if (kind == FailureKind::EndpointFailed)
             probe_endpoint();
     }
-    start_waiting();
+    start_queued();
 }
 
 // Keeps the id as a tombstone, so that a copy of the attempt that arrives later does not start.
 void Agent::on_cancel(const AttemptId& id) {
-    remember(id);
-    const auto found = work_.find(id);
-    if (found == work_.end())
+    mark_seen(id);
+    const auto found = attempts_.find(id);
+    if (found == attempts_.end())
         return;
     const auto work = std::move(found->second);
-    work_.erase(found);
+    attempts_.erase(found);
     if (work->running) {
         endpoint_->cancel(work->call, id);
         queue_.finished(BootClock::now() - work->started, cost_of(work->attempt));
@@ -250,21 +250,21 @@
         queue_.remove(id);
     }
     work->link->send(Broken{id, work->running, FailureKind::Cancelled});
-    start_waiting();
+    start_queued();
 }
 
 void Agent::on_credit(const Credit& credit) {
-    const auto found = work_.find(credit.id);
-    if (found == work_.end() || !found->second->relay)
+    const auto found = attempts_.find(credit.id);
+    if (found == attempts_.end() || !found->second->relay)
         return;
     found->second->relay->credit(credit.bytes);
     endpoint_->resume(found->second->call);
 }
 
-void Agent::break_all(FailureKind reason) {
+void Agent::fail_all(FailureKind reason) {
     queue_.take_all();
-    settle_failed(true);
-    for (auto& [id, work] : std::exchange(work_, {})) {
+    report_failed(true);
+    for (auto& [id, work] : std::exchange(attempts_, {})) {
         if (!work->running) {
             refuse(work->link, id, FailureKind::NoEndpoint, {});
             continue;
