--- a/src/process/admin.cpp
+++ b/src/process/admin.cpp
@@ -87,7 +87,7 @@
 }
 
 // Answers an operator's command with the result that the log entry had when it was applied.
-void answer_order(const Request& r, const Expected<ApplyResult>& result) {
+void reply_with_result(const Request& r, const Expected<ApplyResult>& result) {
     if (!result) {
         r.reply(tl::make_unexpected(result.error()));
     } else if (!result->ok) {
@@ -189,7 +189,7 @@
         if (!result || !result->ok) {
             if (result && result->failure == FailureKind::Conflict)
                 record({.kind = EventKind::SettingsConflict, .detail = result->detail});
-            return answer_order(r, result);
+            return reply_with_result(r, result);
         }
         const Version version = result->version;
         const auto committed_ms = to_millis(r.control.now() - asked);
@@ -304,7 +304,7 @@
     if (!r.author.covers(group->second.site))
         return r.reply(out_of_scope(group->second.site));
     r.control.propose(DrainGroup{epoch, "ordered by " + r.author.name},
-                      [r](const Expected<ApplyResult>& result) { answer_order(r, result); });
+                      [r](const Expected<ApplyResult>& result) { reply_with_result(r, result); });
 }
 
 void hosts_mode(const Request& r) {
@@ -322,7 +322,7 @@
                             : mode == "draining" ? HostMode::Draining
                                                  : HostMode::Forgotten;
     r.control.propose(SetHostMode{r.text("order"), name, wanted, r.author.name},
-                      [r](const Expected<ApplyResult>& result) { answer_order(r, result); });
+                      [r](const Expected<ApplyResult>& result) { reply_with_result(r, result); });
 }
 
 // ---- idempotency keys, status, voters
@@ -333,11 +333,11 @@
 }
 
 void once_show(const Request& r) {
-    constexpr std::size_t RowsShown = 200;
+    constexpr std::size_t MaxRows = 200;
     const std::string key = r.text("key");
     Json::Value out(Json::arrayValue);
     for (const auto& [name, claim] :
-         r.control.replica().state().claims_of(r.text("customer"), key.empty() ? RowsShown : ~0u)) {
+         r.control.replica().state().claims_of(r.text("customer"), key.empty() ? MaxRows : ~0u)) {
         if (!key.empty() && name != key)
             continue;
         Json::Value row;
@@ -355,7 +355,7 @@
 void once_resolve(const Request& r) {
     r.control.propose(ResolveClaim{r.text("order"), r.text("customer"), r.text("key"),
                                    r.params["ran"].asBool(), r.author.name},
-                      [r](const Expected<ApplyResult>& result) { answer_order(r, result); });
+                      [r](const Expected<ApplyResult>& result) { reply_with_result(r, result); });
 }
 
 void status(const Request& r) {
@@ -394,14 +394,14 @@
         voters.erase(node);
     if (voters == r.control.replica().raft().voters())
         return r.reply(Json::Value(Json::objectValue));
-    r.control.propose_voters(voters,
-                             [r](const Expected<ApplyResult>& result) { answer_order(r, result); });
+    r.control.propose_voters(
+        voters, [r](const Expected<ApplyResult>& result) { reply_with_result(r, result); });
 }
 
 // Lists the addresses at which the processes serve /events and /metrics, with a ticket for them.
 void observe_ticket(const Request& r) {
-    constexpr std::int64_t LongestTicketMs = 400LL * 24 * 3600 * 1000;
-    const std::int64_t ms = std::min(r.params["valid_ms"].asInt64(), LongestTicketMs);
+    constexpr std::int64_t MaxTicketMs = 400LL * 24 * 3600 * 1000;
+    const std::int64_t ms = std::min(r.params["valid_ms"].asInt64(), MaxTicketMs);
     const State& state = r.control.replica().state();
     Json::Value out;
     out["ticket"] = make_ticket(r.control.keys(), wall_millis() + ms);
--- a/src/process/control.cpp
+++ b/src/process/control.cpp
@@ -13,13 +13,13 @@
 
 namespace {
 
-constexpr Duration TickEvery = std::chrono::milliseconds(20);
-constexpr Duration PlanEvery = std::chrono::milliseconds(100);
-constexpr Duration ExpireEvery = std::chrono::seconds(60);
+constexpr Duration TickInterval = std::chrono::milliseconds(20);
+constexpr Duration PlanInterval = std::chrono::milliseconds(100);
+constexpr Duration ClaimExpiryInterval = std::chrono::seconds(60);
 // An entry host is retired when it has sent no lease renewal for this long. The outcome of its
 // claims then counts as unknown until a late answer corrects it, so the limit only has to exceed a
 // pause of the process.
-constexpr Duration RetireAfter = std::chrono::seconds(15);
+constexpr Duration RetireEntryAfter = std::chrono::seconds(15);
 constexpr std::int64_t MillisPerHour = 3600 * 1000;
 
 } // namespace
@@ -50,7 +50,7 @@
       keys_(config.cluster_keys),
       storage_(std::move(storage)),
       replica_(std::move(replica)),
-      ticker_(io, TickEvery, [this] { tick(); }) {
+      ticker_(io, TickInterval, [this] { tick(); }) {
     Timeline::instance().name(config.name, identity_.incarnation);
     replica_->on_applied([this](Index index, const Command& command, const ApplyResult& result) {
         on_applied(index, command, result);
@@ -92,11 +92,11 @@
     if (!replica_->ready())
         return;
     if (time >= plan_due_) {
-        plan_due_ = time + PlanEvery;
+        plan_due_ = time + PlanInterval;
         plan();
     }
-    if (time >= expire_due_) {
-        expire_due_ = time + ExpireEvery;
+    if (time >= claim_expiry_due_) {
+        claim_expiry_due_ = time + ClaimExpiryInterval;
         expire_claims();
     }
 }
@@ -121,7 +121,7 @@
         std::_Exit(3);
     }
     send_raft(*messages);
-    note_leadership();
+    record_leadership_change();
     push_tables();
     push_orders();
 }
@@ -134,12 +134,12 @@
     }
 }
 
-void Control::note_leadership() {
+void Control::record_leadership_change() {
     const bool leads = replica_->raft().leads_with_commit();
-    if (leads == led_)
+    if (leads == was_leader_)
         return;
-    led_ = leads;
-    planned_open_ = 0;
+    was_leader_ = leads;
+    unapplied_commands_ = 0;
     record({.kind = leads ? EventKind::LeaderElected : EventKind::LeaderLost,
             .host = config_.name,
             .detail = "term " + std::to_string(replica_->raft().term())});
@@ -170,15 +170,15 @@
 // A new plan waits until all commands of the last one are applied, so that no command is proposed
 // twice.
 void Control::plan() {
-    if (planned_open_ > 0)
+    if (unapplied_commands_ > 0)
         return;
     const auto commands = planner_.plan(replica_->state(), placement_by_site(), now());
     for (Event& event : planner_.take_events())
         record(std::move(event));
-    planned_open_ = commands.size();
+    unapplied_commands_ = commands.size();
     for (const Command& command : commands)
         replica_->propose(command, [this](const Expected<ApplyResult>&) {
-            planned_open_ -= planned_open_ > 0 ? 1 : 0;
+            unapplied_commands_ -= unapplied_commands_ > 0 ? 1 : 0;
         });
     plan_retirements();
     if (!commands.empty())
@@ -189,10 +189,10 @@
     for (const auto& [name, record] : replica_->state().entries()) {
         auto [session, added] = entries_.try_emplace(name);
         if (added)
-            session->second.heard = now();
-        if (now() - session->second.heard < RetireAfter)
+            session->second.last_renewal = now();
+        if (now() - session->second.last_renewal < RetireEntryAfter)
             continue;
-        session->second.heard = now();
+        session->second.last_renewal = now();
         replica_->propose(RetireEntry{name, record.incarnation}, [](const auto&) {});
         pump_soon();
     }
@@ -232,8 +232,8 @@
         done();
         return;
     }
-    constexpr Duration PollEvery = std::chrono::milliseconds(5);
-    auto timer = std::make_shared<asio::steady_timer>(io_, PollEvery);
+    constexpr Duration PollInterval = std::chrono::milliseconds(5);
+    auto timer = std::make_shared<asio::steady_timer>(io_, PollInterval);
     timer->async_wait([this, timer, version, done = std::move(done)](asio::error_code error) {
         if (!error)
             when_in_force(version, done);
@@ -277,10 +277,11 @@
 // make up for lost messages.
 void Control::push_tables() {
     const State& state = replica_->state();
-    if (state.table_version() == pushed_table_ && state.lease_version() == pushed_lease_)
+    if (state.table_version() == sent_table_version_ &&
+        state.lease_version() == sent_lease_version_)
         return;
-    pushed_table_ = state.table_version();
-    pushed_lease_ = state.lease_version();
+    sent_table_version_ = state.table_version();
+    sent_lease_version_ = state.lease_version();
     for (auto& [name, session] : entries_) {
         if (!session.link || !session.renew.want_delta)
             continue;
@@ -293,9 +294,9 @@
 }
 
 void Control::push_orders() {
-    if (!replica_->ready() || replica_->state().table_version() == ordered_table_)
+    if (!replica_->ready() || replica_->state().table_version() == ordered_table_version_)
         return;
-    ordered_table_ = replica_->state().table_version();
+    ordered_table_version_ = replica_->state().table_version();
     for (auto& [name, session] : agents_) {
         const auto host = replica_->state().hosts().find(name);
         if (host == replica_->state().hosts().end() || !session.link)
@@ -429,7 +430,7 @@
     EntrySession& session = entries_[renew.entry];
     session.link = link;
     session.renew = renew;
-    session.heard = now();
+    session.last_renewal = now();
     in_force_.acknowledged(renew.entry, renew.lease);
     link->send(make_lease_ack(renew));
     if (renew.want_delta) {
--- a/src/process/control.h
+++ b/src/process/control.h
@@ -53,7 +53,7 @@
     void tick();
     void pump();
     void send_raft(const std::vector<RaftEnvelope>& messages);
-    void note_leadership();
+    void record_leadership_change();
     void plan();
     void plan_retirements();
     void expire_claims();
@@ -77,7 +77,7 @@
     struct EntrySession {
         Link::Ptr link;
         LeaseRenewal renew;
-        Time heard{};
+        Time last_renewal{};
     };
 
     asio::io_context& io_;
@@ -98,13 +98,13 @@
     mutable std::size_t placement_cache_sites_ = 0;
     Ticker ticker_;
     bool pump_posted_ = false;
-    bool led_ = false;
-    std::size_t planned_open_ = 0; // commands of the planner that are not applied yet
-    Version pushed_table_ = 0;
-    Version pushed_lease_ = 0;
-    Version ordered_table_ = 0;
+    bool was_leader_ = false;
+    std::size_t unapplied_commands_ = 0; // commands of the planner that are not applied yet
+    Version sent_table_version_ = 0;
+    Version sent_lease_version_ = 0;
+    Version ordered_table_version_ = 0;
     Time plan_due_{};
-    Time expire_due_{};
+    Time claim_expiry_due_{};
 };
 
 // Returns the handler of the administration interface (admin.cpp).
--- a/src/process/entry.cpp
+++ b/src/process/entry.cpp
@@ -15,16 +15,16 @@
 
 namespace {
 
-constexpr Duration TickEvery = std::chrono::milliseconds(25);
+constexpr Duration TickInterval = std::chrono::milliseconds(25);
 // Three renewals fit into one lease, so that one lost answer does not end it.
-constexpr Duration RenewEvery = std::chrono::milliseconds(320);
-constexpr Duration ResendEvery = std::chrono::milliseconds(300);
+constexpr Duration RenewalInterval = std::chrono::milliseconds(320);
+constexpr Duration ResendInterval = std::chrono::milliseconds(300);
 // A command without a reply is sent again for this long. After that, the retirement of this entry
 // host or the window of the claims decides the outcome.
-constexpr Duration ResendFor = std::chrono::minutes(10);
+constexpr Duration ResendLimit = std::chrono::minutes(10);
 // Within this time the load balancer reads "not ready" and sends no more requests.
-constexpr Duration LeavingGrace = std::chrono::seconds(2);
-constexpr Duration LeavingDeadline = std::chrono::seconds(120);
+constexpr Duration ReadinessGrace = std::chrono::seconds(2);
+constexpr Duration DrainDeadline = std::chrono::seconds(120);
 
 Voters voters_of(const ProcessConfig& config) {
     Voters voters;
@@ -40,7 +40,7 @@
       shared_(config),
       builder_(config.site),
       lease_(voters_of(config), shared_.identity.incarnation),
-      ticker_(io, TickEvery, [this] { tick(); }) {
+      ticker_(io, TickInterval, [this] { tick(); }) {
     Timeline::instance().name(config.name, shared_.identity.incarnation);
     shared_.submit = [this](Command command, EntryShared::CommandAnswer answer) {
         asio::post(io_, [this, command = std::move(command), answer = std::move(answer)] {
@@ -95,11 +95,11 @@
     if (now >= renew_due_)
         renew(now);
     resend_pending(now);
-    note_lease(now);
+    record_lease_change(now);
     maybe_stop(now);
 }
 
-Dialer* Entry::control_to_ask() {
+Dialer* Entry::preferred_control() {
     const auto leader = control_.find(leader_);
     if (leader != control_.end() && leader->second->up())
         return leader->second.get();
@@ -112,8 +112,8 @@
 // The renewal goes to all control hosts, but only one of them is asked for changes, so that each
 // change is sent once.
 void Entry::renew(Time now) {
-    renew_due_ = now + RenewEvery;
-    const Dialer* source = control_to_ask();
+    renew_due_ = now + RenewalInterval;
+    const Dialer* source = preferred_control();
     for (const auto& [node, dialer] : control_) {
         if (!dialer->up())
             continue;
@@ -137,9 +137,9 @@
     // The lease is extended only after the tables that it covers are published.
     shared_.lease_until.store(lease_.valid_until().time_since_epoch().count(),
                               std::memory_order_release);
-    note_lease(BootClock::now());
+    record_lease_change(BootClock::now());
     if (lease_.behind())
-        renew_due_ = std::min(renew_due_, BootClock::now() + RenewEvery / 8);
+        renew_due_ = std::min(renew_due_, BootClock::now() + RenewalInterval / 8);
     if (!lease_ack.registered && !std::exchange(registering_, true)) {
         const ProcessConfig& config = shared_.config;
         submit(
@@ -161,7 +161,7 @@
     renew_due_ = {};
 }
 
-void Entry::note_lease(Time now) {
+void Entry::record_lease_change(Time now) {
     const bool holds = shared_.lease_holds(now);
     if (holds == had_lease_)
         return;
@@ -176,26 +176,26 @@
 void Entry::submit(Command command, EntryShared::CommandAnswer answer) {
     const Time now = BootClock::now();
     const std::uint64_t id = next_id_++;
-    Pending& pending = pending_[id];
+    PendingCommand& pending = pending_[id];
     pending = {std::move(command), std::move(answer), now, {}};
     send_pending(id, pending);
 }
 
-void Entry::send_pending(std::uint64_t id, Pending& pending) {
+void Entry::send_pending(std::uint64_t id, PendingCommand& pending) {
     pending.sent = BootClock::now();
-    if (Dialer* dialer = control_to_ask())
+    if (Dialer* dialer = preferred_control())
         dialer->send(CommandRequest{id, encode(pending.command)});
 }
 
 // Every command of an entry host is idempotent, so it can be sent again.
 void Entry::resend_pending(Time now) {
     for (auto it = pending_.begin(); it != pending_.end();) {
-        Pending& pending = it->second;
-        if (now - pending.first_sent > ResendFor) {
+        PendingCommand& pending = it->second;
+        if (now - pending.first_sent > ResendLimit) {
             it = pending_.erase(it);
             continue;
         }
-        if (now - pending.sent > ResendEvery)
+        if (now - pending.sent > ResendInterval)
             send_pending(it->first, pending);
         ++it;
     }
@@ -212,7 +212,7 @@
         leader_ = static_cast<NodeId>(std::atoi(reply.detail.c_str()));
         return;
     }
-    const Pending pending = std::move(found->second);
+    const PendingCommand pending = std::move(found->second);
     pending_.erase(found);
     if (pending.answer)
         pending.answer(reply);
@@ -239,16 +239,16 @@
 void Entry::maybe_stop(Time now) {
     if (leaving_since_ == Time{})
         return;
-    if (now - leaving_since_ > LeavingGrace && std::exchange(accepting_, false)) {
+    if (now - leaving_since_ > ReadinessGrace && std::exchange(accepting_, false)) {
         shared_.draining.store(true);
         for (const auto& shard : shards_)
             shard->drain();
     }
-    const bool late = now - leaving_since_ > LeavingDeadline;
+    const bool late = now - leaving_since_ > DrainDeadline;
     const bool busy = std::any_of(shards_.begin(), shards_.end(),
                                   [](const auto& shard) { return shard->busy(); });
     const bool idle = !accepting_ && !busy && shared_.calls.load() == 0 && pending_.empty() &&
-                      now - leaving_since_ > LeavingGrace + LeavingGrace / 4;
+                      now - leaving_since_ > ReadinessGrace + ReadinessGrace / 4;
     if (!idle && !late)
         return;
     record({.kind = EventKind::ProcessStopped,
--- a/src/process/entry.h
+++ b/src/process/entry.h
@@ -27,7 +27,7 @@
     void leave();
 
   private:
-    struct Pending {
+    struct PendingCommand {
         Command command;
         EntryShared::CommandAnswer answer; // null where nothing waits for the reply
         Time first_sent{};
@@ -37,14 +37,14 @@
     void tick();
     void renew(Time now);
     void submit(Command command, EntryShared::CommandAnswer answer);
-    void send_pending(std::uint64_t id, Pending& pending);
+    void send_pending(std::uint64_t id, PendingCommand& pending);
     void resend_pending(Time now);
     void on_lease_ack(const LeaseAck& lease_ack);
     void on_reply(const CommandReply& reply);
     void publish();
-    void note_lease(Time now);
+    void record_lease_change(Time now);
     void maybe_stop(Time now);
-    Dialer* control_to_ask();
+    Dialer* preferred_control();
 
     asio::io_context& io_;
     EntryShared shared_;
@@ -52,7 +52,7 @@
     LeaseHolder lease_;
     std::map<NodeId, std::unique_ptr<Dialer>> control_;
     NodeId leader_ = NoNode;
-    std::map<std::uint64_t, Pending> pending_;
+    std::map<std::uint64_t, PendingCommand> pending_;
     std::uint64_t next_id_ = 1;
     bool registering_ = false;
     bool had_lease_ = false;
