--- a/src/process/coordinator.cpp
+++ b/src/process/coordinator.cpp
@@ -16,13 +16,13 @@
 namespace {
 
 // Half of the Raft heartbeat interval. Finer ticks only cost wake-ups on hosts that share a core.
-constexpr Duration TickEvery = std::chrono::milliseconds(50);
-constexpr Duration SecondlyEvery = std::chrono::milliseconds(1000);
+constexpr Duration TickInterval = std::chrono::milliseconds(50);
+constexpr Duration HousekeepingInterval = std::chrono::milliseconds(1000);
 // A full or failing disk is retried this often. The log is then read from it as after a restart.
-constexpr Duration ReopenEvery = std::chrono::milliseconds(700);
+constexpr Duration ReopenInterval = std::chrono::milliseconds(700);
 // The system may have fewer control hosts than the tolerated failures require. After this long a
 // leader requires no more copies of a document than there are voters.
-constexpr Duration FewVotersPatience = std::chrono::seconds(3);
+constexpr Duration FewVotersTimeout = std::chrono::seconds(3);
 // An election costs availability: entry hosts that start get no settings until there is a leader.
 // The timeouts cover a round trip between zones, a sync and a lost packet.
 constexpr RaftTuning Tuning{.heartbeat = std::chrono::milliseconds(100),
@@ -43,8 +43,8 @@
       voter_selector_(2 * config_.tolerated_hosts + 1),
       groups_({config_.bounds.beat, config_.bounds.load_window}, config_.first_start),
       planning_(io, [this] { plan(); }),
-      telling_(io, [this] { send_changes(); }),
-      ticker_(io, TickEvery, [this] { tick(); }) {}
+      sending_changes_(io, [this] { send_changes(); }),
+      ticker_(io, TickInterval, [this] { tick(); }) {}
 
 Coordinator::~Coordinator() = default;
 
@@ -61,10 +61,10 @@
     if (auto opened = coordinator->open_replica(); !opened)
         coordinator->storage_failed(opened.error());
     coordinator->endpoint_cache_ = std::make_unique<EndpointCacheFile>(coordinator->storage_);
-    coordinator->remembered_ = coordinator->endpoint_cache_->load();
+    coordinator->cached_endpoints_ = coordinator->endpoint_cache_->load();
     coordinator->started_ = BootClock::now();
     log(LogLevel::Info, "endpoints known before the start",
-        {{"count", std::to_string(coordinator->remembered_.size())}});
+        {{"count", std::to_string(coordinator->cached_endpoints_.size())}});
     return coordinator;
 }
 
@@ -106,7 +106,7 @@
          {"last_index", std::to_string(replica_->raft().last_index())},
          {"voters", std::to_string(replica_->raft().voters().size())}});
     for (const NodeId voter : replica_->raft().voters())
-        learn(voter);
+        add_control_host(voter);
     return {};
 }
 
@@ -126,13 +126,13 @@
     log(LogLevel::Error, "storage failed; the log is closed until it can be read again",
         {{"failure", std::string(name_of(failure.kind))}, {"detail", failure.detail}});
     Metrics::instance().counter("liftweir_storage_failures").add();
-    reopen_due_ = BootClock::now() + ReopenEvery;
+    reopen_due_ = BootClock::now() + ReopenInterval;
     if (!replica_)
         return;
     // Destroyed from the event loop, since this may run within a call of the replica itself.
     asio::post(io_,
-               [this, old = std::shared_ptr<Replica>(std::move(replica_))] { settle_waiting(); });
-    led_ = false;
+               [this, old = std::shared_ptr<Replica>(std::move(replica_))] { answer_waiting(); });
+    was_leader_ = false;
     groups_.step_down();
 }
 
@@ -172,45 +172,45 @@
         replica_->tick(now);
     pump();
     if (now >= alive_due_) {
-        alive_due_ = now + AliveEvery;
+        alive_due_ = now + HeartbeatFlushInterval;
         flush_alive();
     }
-    if (now >= shares_due_)
-        tell_shares(now);
-    if (now >= second_due_) {
-        second_due_ = now + SecondlyEvery;
-        every_second();
+    if (now >= load_due_)
+        send_load(now);
+    if (now >= housekeeping_due_) {
+        housekeeping_due_ = now + HousekeepingInterval;
+        run_housekeeping();
     }
-    settle_doubts(now);
+    check_addresses(now);
     if (now >= plan_due_)
         planning_.run();
 }
 
-void Coordinator::every_second() {
+void Coordinator::run_housekeeping() {
     const Time now = BootClock::now();
     registry_.expire(now);
     quarantine_.expire(now);
-    forget_answers(now);
+    expire_endpoint_signals(now);
     allocator_.expire(now);
-    keep_quarantine();
-    keep_roster(now);
+    propose_missing_quarantines();
+    write_endpoint_cache(now);
     if (replica_)
         for (const NodeId voter : replica_->raft().voters())
             if (voter != node_)
-                learn(voter);
-    greet_all();
+                add_control_host(voter);
+    send_hellos();
     if (leads())
-        note_peers_behind();
+        log_peers_behind();
     if (leads())
         for (const auto& [service, line] : groups_.layouts(registry_, now))
             log(LogLevel::Info, "layout", {{"service", service}, {"groups", line}});
     std::erase_if(entries_, [&](const auto& item) {
-        return now - item.second.heard > EntrySessionKept && !item.second.link;
+        return now - item.second.seen > EntrySessionTimeout && !item.second.link;
     });
 }
 
 // Logs each control host that lacks committed entries. Runs once a second.
-void Coordinator::note_peers_behind() const {
+void Coordinator::log_peers_behind() const {
     const Raft& raft = replica_->raft();
     for (const auto& [address, peer] : peers_) {
         const auto view = raft.peer(peer.node);
@@ -244,12 +244,12 @@
         return;
     }
     send_raft(*messages);
-    note_leadership();
+    record_leadership_change();
     groups_.settle(registry_, BootClock::now());
     document_applied();
     quarantine_applied();
-    keep_voters();
-    settle_waiting();
+    adjust_voters();
+    answer_waiting();
     send_orders();
 }
 
@@ -263,7 +263,7 @@
     }
 }
 
-void Coordinator::note_term() {
+void Coordinator::record_term_change() {
     const Term term = replica_->raft().term();
     if (term == known_term_)
         return;
@@ -272,12 +272,12 @@
     term_began_ = BootClock::now();
 }
 
-void Coordinator::note_leadership() {
-    note_term();
+void Coordinator::record_leadership_change() {
+    record_term_change();
     const bool leads = replica_->raft().leads_with_commit();
-    if (leads == led_)
+    if (leads == was_leader_)
         return;
-    led_ = leads;
+    was_leader_ = leads;
     leads_since_ = BootClock::now();
     proposed_document_ = 0;
     log(LogLevel::Info, leads ? "leads" : "leads no more",
@@ -317,7 +317,7 @@
 }
 
 // Voters change one at a time: each change is committed before the next one is proposed.
-void Coordinator::keep_voters() {
+void Coordinator::adjust_voters() {
     if (!leads())
         return;
     Raft& raft = replica_->mutable_raft();
@@ -342,13 +342,13 @@
 // A majority of three hosts is two disks, and the loss of both would lose an acknowledged change.
 // So the acknowledgement waits until one disk more than the tolerated losses has the document, in a
 // set of voters that still has a majority without the lost ones.
-bool Coordinator::durable(const StoredDocument& document) const {
+bool Coordinator::is_durable(const StoredDocument& document) const {
     const Raft& raft = replica_->raft();
     const std::size_t copies = raft.synced_copies(document.index);
     const std::size_t needed = config_.tolerated_hosts + 1;
     if (copies >= needed && raft.voters().size() >= voter_selector_.target())
         return true;
-    return BootClock::now() - leads_since_ > FewVotersPatience &&
+    return BootClock::now() - leads_since_ > FewVotersTimeout &&
            copies >= std::min(needed, raft.voters().size());
 }
 
@@ -369,30 +369,30 @@
 void Coordinator::leave() {
     log(LogLevel::Info, "leaving", {{"waiting", std::to_string(waiting_.size())}});
     leaving_ = true;
-    settle_waiting();
+    answer_waiting();
 }
 
-void Coordinator::acknowledge(const Waiting& item) {
+void Coordinator::acknowledge(const WaitingCall& item) {
     Metrics::instance()
         .histogram("liftweir_document_seconds")
         .add(to_seconds(BootClock::now() - item.begun));
     item.done({});
 }
 
-void Coordinator::settle_waiting() {
+void Coordinator::answer_waiting() {
     if (waiting_.empty())
         return;
-    std::vector<Waiting> still;
-    for (Waiting& item : std::exchange(waiting_, {})) {
+    std::vector<WaitingCall> unanswered;
+    for (WaitingCall& item : std::exchange(waiting_, {})) {
         if (!leads())
             item.done(fail(FailureKind::NoQuorum, "leadership was lost"));
         else if (replica_->state().document().version >= item.version &&
-                 durable(replica_->state().document()))
+                 is_durable(replica_->state().document()))
             acknowledge(item);
         else
-            still.push_back(std::move(item));
+            unanswered.push_back(std::move(item));
     }
-    waiting_ = std::move(still);
+    waiting_ = std::move(unanswered);
 }
 
 void Coordinator::read_document(Read read) {
--- a/src/process/coordinator.h
+++ b/src/process/coordinator.h
@@ -86,16 +86,16 @@
                 DocumentDecoder decode);
 
     // An entry host that has not renewed its lease for this long is not counted.
-    static constexpr Duration EntrySessionKept = std::chrono::seconds(4);
+    static constexpr Duration EntrySessionTimeout = std::chrono::seconds(4);
 
     // Heartbeats of endpoints are collected for this long before they are forwarded to peers.
-    static constexpr Duration AliveEvery = std::chrono::milliseconds(500);
+    static constexpr Duration HeartbeatFlushInterval = std::chrono::milliseconds(500);
 
     // An entry host that renews its lease at this host.
     struct EntrySession {
         Link::Ptr link;
         LeaseRenewal renew;
-        Time heard{};
+        Time seen{};
         Time digests_due{}; // when the registry digests may be sent again
         Version pushed = 0; // log index of the last document that was sent over the link
     };
@@ -106,12 +106,12 @@
         NodeId node = NoNode;
     };
     // Rejected reports of one kind of fault.
-    struct RefusedReports {
+    struct RejectedReports {
         Time logged{};
         std::uint64_t since = 0; // rejected since the last logged line
     };
     // An operator's call that waits until its document is on enough disks.
-    struct Waiting {
+    struct WaitingCall {
         Version version = 0;
         Done done;
         Time begun{};
@@ -125,14 +125,14 @@
     void pump();
     void pump_soon();
     void send_raft(const std::vector<RaftEnvelope>& messages);
-    void note_term();
-    void note_leadership();
-    void keep_voters();
+    void record_term_change();
+    void record_leadership_change();
+    void adjust_voters();
     Voters learners() const;
     std::vector<NodeView> views_of(Voters nodes) const;
-    void settle_waiting();
-    static void acknowledge(const Waiting& item);
-    bool durable(const StoredDocument& document) const;
+    void answer_waiting();
+    static void acknowledge(const WaitingCall& item);
+    bool is_durable(const StoredDocument& document) const;
     void document_applied();
     void push_document();
     void send_to_entries(const WireMessage& message);
@@ -141,9 +141,9 @@
 
     // links to control hosts and entry hosts
     void connect_to(const std::string& address);
-    void learn(NodeId node);
-    void greet(Peer& peer);
-    void greet_all();
+    void add_control_host(NodeId node);
+    void send_hello(Peer& peer);
+    void send_hellos();
     void on_message(const Link::Ptr& link, WireMessage&& message);
     void on_raft(const Link::Ptr& link, const RaftPacket& packet, Time now);
     void on_suspected(const GroupSuspected& suspected, Time now);
@@ -155,17 +155,17 @@
 
     // registrations
     ReportFault fault_here(const EndpointReport& report) const;
-    void merge(const EndpointReport& report, bool first_hand, Time heard);
+    void merge(const EndpointReport& report, bool first_hand, Time seen);
     void on_changes(const EndpointChanges& changes, Time now);
     void on_alive(const EndpointsAlive& alive, Time now);
     void changed(const EndpointReport& report, bool to_peers);
-    void pass_on_doubted(const EndpointReport& report);
-    void pass_on_settled();
-    void settle_doubts(Time now);
+    void forward_unconfirmed(const EndpointReport& report);
+    void forward_resolved();
+    void check_addresses(Time now);
     void send_changes();
     void flush_alive();
     bool settled(Time now) const;
-    void keep_roster(Time now);
+    void write_endpoint_cache(Time now);
     void on_digests(const Link::Ptr& link, const RegistryDigests& digests, Time now);
     void send_ranges(const Link::Ptr& link, const RangesRequested& wanted, Time now) const;
 
@@ -173,35 +173,35 @@
     void plan();
     void plan_soon();
     void probe(const GroupController::Probe& asked, Time now);
-    void tell_dissolved(const Link::Ptr& only);
+    void send_dissolved(const Link::Ptr& only);
     void send_orders();
-    void give(const OrderQueue::Item& item);
+    void send_order(const OrderQueue::Item& item);
 
     // quarantine of requests that crash endpoints
     void on_aborted(const Link::Ptr& link, const RequestsAborted& aborted, Time now);
-    void on_suspicions(const Link::Ptr& link, const SuspectRequests& told, Time now);
+    void on_suspects(const Link::Ptr& link, const SuspectRequests& received, Time now);
     void clear(const std::vector<Fingerprint>& contents);
     void note_quarantined(const Fingerprint& content, Time now);
-    void tell_peers(const SuspectRequest& held);
-    void keep_quarantine();
+    void send_decision_to_peers(const SuspectRequest& held);
+    void propose_missing_quarantines();
     void quarantine_applied();
     void propose_quarantine(const SuspectRequest& held);
-    void ask_whether_ended(const SuspectRequest& held);
+    void probe_aborting_endpoints(const SuspectRequest& held);
 
     // limits and shutdown notices that endpoints send in their answers
-    void on_leaving(const Link::Ptr& link, const EndpointsLeaving& told, Time now);
-    void tell_answers(const Link::Ptr& link, Time now) const;
-    void forget_answers(Time now);
-    void on_limit_words(const Link::Ptr& link, const LimitReports& told, Time now);
-    void lend_limits(const Link::Ptr& link, const LeaseRenewal& renew, Time now);
+    void on_leaving(const Link::Ptr& link, const EndpointsLeaving& received, Time now);
+    void send_endpoint_signals(const Link::Ptr& link, Time now) const;
+    void expire_endpoint_signals(Time now);
+    void on_limit_reports(const Link::Ptr& link, const LimitReports& received, Time now);
+    void grant_limit_shares(const Link::Ptr& link, const LeaseRenewal& renew, Time now);
 
     // load reports of the entry hosts
-    void on_shares(const GroupLoadReports& shares, Time now);
-    void tell_shares(Time now);
+    void on_load_reports(const GroupLoadReports& shares, Time now);
+    void send_load(Time now);
 
     void tick();
-    void every_second();
-    void note_peers_behind() const;
+    void run_housekeeping();
+    void log_peers_behind() const;
 
     asio::io_context& io_;
     SiteConfig config_;
@@ -221,22 +221,22 @@
     Registry registry_;
     RegistryRepair repair_;
     std::unique_ptr<EndpointCacheFile> endpoint_cache_;
-    std::vector<EndpointReport> remembered_; // cached endpoints, until they are outdated
-    bool peer_settled_ = false;              // another control host has a complete registry
+    std::vector<EndpointReport> cached_endpoints_; // read at the start, until they are outdated
+    bool peer_has_registry_ = false;               // another control host has a complete registry
     Time started_{};
-    Time roster_due_{};
-    std::set<std::string> services_;                // of the document in force
-    std::map<ReportFault, RefusedReports> refused_; // by fault
-    std::vector<EndpointReport> changes_;           // to be sent to peers and entry hosts
-    std::vector<EndpointReport> entry_changes_;     // to be sent to entry hosts only
-    std::set<Epoch> dissolved_;                     // that entry hosts were notified of
-    std::set<EndpointId> alive_;                    // that sent a report since the last flush
+    Time cache_write_due_{};
+    std::set<std::string> services_;                          // of the document in force
+    std::map<ReportFault, RejectedReports> rejected_reports_; // by fault
+    std::vector<EndpointReport> changes_;                     // to be sent to peers and entry hosts
+    std::vector<EndpointReport> entry_changes_;               // to be sent to entry hosts only
+    std::set<Epoch> dissolved_;                               // that entry hosts were notified of
+    std::set<EndpointId> alive_; // that sent a report since the last flush
     GroupController groups_;
-    std::vector<Waiting> waiting_;
+    std::vector<WaitingCall> waiting_;
     Version applied_document_ = 0;
     Version proposed_document_ = 0;
     bool leaving_ = false;
-    bool led_ = false;
+    bool was_leader_ = false;
     Time leads_since_{};
     Term known_term_ = 0;
     Time term_began_{};
@@ -247,13 +247,13 @@
     std::map<EndpointId, Time> leaving_endpoints_;               // since when, by their answers
     ReportedLimits limits_;
     LimitAllocator allocator_;
-    EntryLoadTable work_;
-    Time shares_due_{};
-    Time second_due_{};
+    EntryLoadTable loads_;
+    Time load_due_{};
+    Time housekeeping_due_{};
     Time alive_due_{};
     Time plan_due_{};
     ThrottledWork planning_;
-    ThrottledWork telling_; // sends changes of endpoints to peers and entry hosts
+    ThrottledWork sending_changes_; // sends changes of endpoints to peers and entry hosts
     Ticker ticker_;
     OwnedGauges gauges_;
 };
--- a/src/process/coordinatorlimits.cpp
+++ b/src/process/coordinatorlimits.cpp
@@ -10,47 +10,47 @@
 
 // A shutdown notice is kept for at least this long, and while its endpoint is registered, for entry
 // hosts that start later.
-constexpr Duration LeavingKept = std::chrono::minutes(1);
+constexpr Duration ShutdownNoticeTime = std::chrono::minutes(1);
 
 } // namespace
 
-void Coordinator::on_limit_words(const Link::Ptr& link, const LimitReports& told, Time now) {
-    LimitReports news;
-    for (const LimitReport& word : told.reports) {
-        if (!limits_.merge(word, now))
+void Coordinator::on_limit_reports(const Link::Ptr& link, const LimitReports& received, Time now) {
+    LimitReports updates;
+    for (const LimitReport& limit_report : received.reports) {
+        if (!limits_.merge(limit_report, now))
             continue;
         log(LogLevel::Info, "endpoint limit",
-            {{"endpoint", text_of(word.endpoint)},
-             {"per_second", std::to_string(word.per_second)},
-             {"age_ms", std::to_string(word.age_ms)},
+            {{"endpoint", text_of(limit_report.endpoint)},
+             {"per_second", std::to_string(limit_report.per_second)},
+             {"age_ms", std::to_string(limit_report.age_ms)},
              {"from", link->peer().name}});
-        news.reports.push_back(word);
+        updates.reports.push_back(limit_report);
     }
-    if (news.reports.empty())
+    if (updates.reports.empty())
         return;
     if (link->peer().role == ProcessRole::Entry)
-        send_to_peers(news);
-    send_to_entries(news);
+        send_to_peers(updates);
+    send_to_entries(updates);
 }
 
-void Coordinator::on_leaving(const Link::Ptr& link, const EndpointsLeaving& told, Time now) {
-    EndpointsLeaving news;
-    for (const EndpointId& id : told.ids) {
+void Coordinator::on_leaving(const Link::Ptr& link, const EndpointsLeaving& received, Time now) {
+    EndpointsLeaving updates;
+    for (const EndpointId& id : received.ids) {
         if (!leaving_endpoints_.emplace(id, now).second)
             continue;
         log(LogLevel::Info, "endpoint leaves",
             {{"endpoint", text_of(id)}, {"from", link->peer().name}});
-        news.ids.push_back(id);
+        updates.ids.push_back(id);
     }
-    if (news.ids.empty())
+    if (updates.ids.empty())
         return;
     if (link->peer().role == ProcessRole::Entry)
-        send_to_peers(news);
-    send_to_entries(news);
+        send_to_peers(updates);
+    send_to_entries(updates);
 }
 
 // Sends all known limits and shutdown notices to an entry host that may have started just now.
-void Coordinator::tell_answers(const Link::Ptr& link, Time now) const {
+void Coordinator::send_endpoint_signals(const Link::Ptr& link, Time now) const {
     if (!limits_.empty())
         link->send(LimitReports{limits_.reports(now)});
     EndpointsLeaving leaving;
@@ -60,15 +60,15 @@
         link->send(leaving);
 }
 
-void Coordinator::forget_answers(Time now) {
+void Coordinator::expire_endpoint_signals(Time now) {
     limits_.expire([this](const EndpointId& id) { return registry_.find(id) != nullptr; }, now);
     std::erase_if(leaving_endpoints_, [&](const auto& item) {
-        return now - item.second > LeavingKept && registry_.find(item.first) == nullptr;
+        return now - item.second > ShutdownNoticeTime && registry_.find(item.first) == nullptr;
     });
 }
 
 // Sent before the answer to the renewal, since that answer ends the renewal at the entry host.
-void Coordinator::lend_limits(const Link::Ptr& link, const LeaseRenewal& renew, Time now) {
+void Coordinator::grant_limit_shares(const Link::Ptr& link, const LeaseRenewal& renew, Time now) {
     allocator_.seen(renew.entry, renew.incarnation, renew.calls, now);
     if (!leads() || limits_.limited() == 0)
         return;
--- a/src/process/coordinatorlinks.cpp
+++ b/src/process/coordinatorlinks.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-constexpr Duration PlanEvery = std::chrono::milliseconds(150);
+constexpr Duration PlanInterval = std::chrono::milliseconds(150);
 // Registry digests are sent to an entry host at most this often. One that lacks the document renews
 // its lease more often than that.
-constexpr Duration CompareEvery = std::chrono::milliseconds(800);
+constexpr Duration DigestInterval = std::chrono::milliseconds(800);
 
 } // namespace
 
@@ -44,7 +44,7 @@
     Peer& peer = peers_[address];
     peer.dialer = std::make_unique<Dialer>(io_, address, identity_, keys_);
     peer.dialer->start(
-        [this, &peer](const Link::Ptr&) { greet(peer); },
+        [this, &peer](const Link::Ptr&) { send_hello(peer); },
         [this](const Link::Ptr& link, WireMessage&& m) { on_message(link, std::move(m)); },
         [](const Link::Ptr&) {});
     peer.raft = std::make_unique<Dialer>(io_, address, identity_, keys_);
@@ -54,7 +54,7 @@
         [](const Link::Ptr&) {});
 }
 
-void Coordinator::learn(NodeId node) {
+void Coordinator::add_control_host(NodeId node) {
     if (node == NoNode || same_host(node, node_))
         return;
     nodes_.insert(node);
@@ -71,16 +71,16 @@
     return nodes;
 }
 
-void Coordinator::greet(Peer& peer) {
+void Coordinator::send_hello(Peer& peer) {
     if (node_ == NoNode)
         return;
     peer.dialer->send(
         PeerHello{node_, known_nodes(), registry_.digest(), settled(BootClock::now())});
 }
 
-void Coordinator::greet_all() {
+void Coordinator::send_hellos() {
     for (auto& [address, peer] : peers_)
-        greet(peer);
+        send_hello(peer);
 }
 
 // A host has one data directory at a time, so the node number in its latest message replaces
@@ -90,19 +90,19 @@
         return;
     std::erase_if(nodes_,
                   [&](NodeId node) { return node != hello.node && same_host(node, hello.node); });
-    learn(hello.node);
+    add_control_host(hello.node);
     Peer& peer = peers_[address_of(hello.node, config_.link_port)];
     if (peer.node != hello.node)
         log(LogLevel::Info, "control host known", {{"node", text_of(hello.node)}});
     peer.node = hello.node;
-    peer_settled_ = peer_settled_ || hello.settled;
+    peer_has_registry_ = peer_has_registry_ || hello.settled;
     peer.dialer->retry_now();
     peer.raft->retry_now();
     for (const NodeId node : hello.nodes) {
         const bool host_known =
             std::any_of(nodes_.begin(), nodes_.end(), [&](NodeId n) { return same_host(n, node); });
         if (!host_known)
-            learn(node);
+            add_control_host(node);
     }
     if (hello.registry != registry_.digest() && !peer.dialer->backed_up())
         peer.dialer->send(RegistryDigests{registry_.range_digests()});
@@ -125,13 +125,13 @@
     } else if (const auto* aborted = std::get_if<RequestsAborted>(&message)) {
         on_aborted(link, *aborted, now);
     } else if (const auto* suspicions = std::get_if<SuspectRequests>(&message)) {
-        on_suspicions(link, *suspicions, now);
+        on_suspects(link, *suspicions, now);
     } else if (const auto* leaving = std::get_if<EndpointsLeaving>(&message)) {
         on_leaving(link, *leaving, now);
-    } else if (const auto* words = std::get_if<LimitReports>(&message)) {
-        on_limit_words(link, *words, now);
+    } else if (const auto* limit_reports = std::get_if<LimitReports>(&message)) {
+        on_limit_reports(link, *limit_reports, now);
     } else if (const auto* shares = std::get_if<GroupLoadReports>(&message)) {
-        on_shares(*shares, now);
+        on_load_reports(*shares, now);
     } else if (const auto* digests = std::get_if<RegistryDigests>(&message)) {
         on_digests(link, *digests, now);
     } else if (const auto* wanted = std::get_if<RangesRequested>(&message)) {
@@ -173,7 +173,7 @@
     }
     const Time now = BootClock::now();
     for (const auto& [name, session] : entries_) {
-        if (now - session.heard > EntrySessionKept)
+        if (now - session.seen > EntrySessionTimeout)
             continue;
         ++lease_ack.entries;
         lease_ack.in_flight_total += session.renew.in_flight;
@@ -190,20 +190,20 @@
         session.pushed = 0;
     session.link = link;
     session.renew = renew;
-    session.heard = BootClock::now();
+    session.seen = BootClock::now();
     if (renew.calls > 0)
         groups_.traffic_began();
     if (new_link)
-        tell_answers(link, session.heard);
-    lend_limits(link, renew, session.heard);
+        send_endpoint_signals(link, session.seen);
+    grant_limit_shares(link, renew, session.seen);
     // Without an open log this host can not acknowledge a renewal.
     if (replica_)
         link->send(make_lease_ack(renew.sequence));
-    if (new_link && !remembered_.empty())
-        link->send(EndpointsRestored{remembered_});
+    if (new_link && !cached_endpoints_.empty())
+        link->send(EndpointsRestored{cached_endpoints_});
     if (new_link && leads())
-        tell_dissolved(link);
-    if (const auto known = quarantine_.suspects_to_send(session.heard); new_link && !known.empty())
+        send_dissolved(link);
+    if (const auto known = quarantine_.suspects_to_send(session.seen); new_link && !known.empty())
         link->send(SuspectRequests{known, {}});
     if (replica_)
         push_document_to(session);
@@ -211,27 +211,27 @@
     if (renew.registry == registry_.digest() || link->backed_up() ||
         (!new_link && now < session.digests_due))
         return;
-    session.digests_due = now + CompareEvery;
+    session.digests_due = now + DigestInterval;
     link->send(RegistryDigests{registry_.range_digests()});
 }
 
 // ---- load reports of the entry hosts
 
-void Coordinator::on_shares(const GroupLoadReports& shares, Time now) {
-    work_.tell(shares.entry, shares.shares, now);
+void Coordinator::on_load_reports(const GroupLoadReports& shares, Time now) {
+    loads_.tell(shares.entry, shares.shares, now);
 }
 
 // Entry hosts without requests in flight get the load of the others too, since their next request
 // needs it.
-void Coordinator::tell_shares(Time now) {
-    work_.expire(now);
-    shares_due_ = now + work_.every();
-    if (work_.empty() || !leads())
+void Coordinator::send_load(Time now) {
+    loads_.expire(now);
+    load_due_ = now + loads_.every();
+    if (loads_.empty() || !leads())
         return;
-    const auto interval_ms = static_cast<std::uint32_t>(to_millis(work_.every()));
+    const auto interval_ms = static_cast<std::uint32_t>(to_millis(loads_.every()));
     for (auto& [name, session] : entries_)
         if (session.link && !session.link->backed_up())
-            session.link->send(GroupLoadReports{"", interval_ms, work_.load_of_others(name)});
+            session.link->send(GroupLoadReports{"", interval_ms, loads_.load_of_others(name)});
 }
 
 // ---- groups
@@ -245,7 +245,7 @@
 
 void Coordinator::plan() {
     const Time now = BootClock::now();
-    plan_due_ = planning_.due(now + PlanEvery);
+    plan_due_ = planning_.due(now + PlanInterval);
     if (!replica_ || !replica_->ready())
         return;
     if (groups_.plan(*replica_, registry_, now))
@@ -259,7 +259,7 @@
              {"why", event.why},
              {"term", std::to_string(replica_->raft().term())}});
     send_orders();
-    tell_dissolved(nullptr);
+    send_dissolved(nullptr);
 }
 
 void Coordinator::probe(const GroupController::Probe& asked, Time now) {
@@ -276,25 +276,26 @@
 
 // Notifies entry hosts of dissolved groups. They go by the report of a group's lead, and a lead
 // that was lost can not withdraw its last report.
-void Coordinator::tell_dissolved(const Link::Ptr& only) {
+void Coordinator::send_dissolved(const Link::Ptr& only) {
     const std::set<Epoch> all = groups_.dissolved(registry_);
-    const bool news = !std::includes(dissolved_.begin(), dissolved_.end(), all.begin(), all.end());
+    const bool any_new =
+        !std::includes(dissolved_.begin(), dissolved_.end(), all.begin(), all.end());
     dissolved_ = all;
     if (all.empty())
         return;
     const GroupsDissolved message{{all.begin(), all.end()}};
     if (only)
         only->send(message);
-    else if (news)
+    else if (any_new)
         send_to_entries(message);
 }
 
 void Coordinator::send_orders() {
     while (const auto item = groups_.next_order())
-        give(*item);
+        send_order(*item);
 }
 
-void Coordinator::give(const OrderQueue::Item& item) {
+void Coordinator::send_order(const OrderQueue::Item& item) {
     Metrics::instance()
         .counter("liftweir_orders", "kind=\"" + std::string(name_of(item.order.kind)) + "\"")
         .add();
--- a/src/process/coordinatorquarantine.cpp
+++ b/src/process/coordinatorquarantine.cpp
@@ -14,33 +14,33 @@
     // An entry host may have links to some of the control hosts only.
     if (link->peer().role == ProcessRole::Entry)
         send_to_peers(aborted);
-    SuspectRequests news;
+    SuspectRequests updates;
     for (const AbortedRequest& request : aborted.requests) {
         if (quarantine_.aborted(request, aborted.endpoint, now)) {
             note_quarantined(request.content, now);
-            tell_peers(quarantine_.suspicion(request.content, now));
+            send_decision_to_peers(quarantine_.suspicion(request.content, now));
         }
         const SuspectRequest known = quarantine_.suspicion(request.content, now);
         if (known.ends > 1)
-            news.known.push_back(known);
+            updates.known.push_back(known);
     }
-    if (!news.known.empty())
-        send_to_entries(news);
+    if (!updates.known.empty())
+        send_to_entries(updates);
 }
 
-void Coordinator::on_suspicions(const Link::Ptr& link, const SuspectRequests& told, Time now) {
-    if (link->peer().role == ProcessRole::Entry && !told.cleared.empty())
-        send_to_peers(SuspectRequests{{}, told.cleared});
-    clear(told.cleared);
-    SuspectRequests news;
-    for (const SuspectRequest& suspicion : told.known) {
+void Coordinator::on_suspects(const Link::Ptr& link, const SuspectRequests& received, Time now) {
+    if (link->peer().role == ProcessRole::Entry && !received.cleared.empty())
+        send_to_peers(SuspectRequests{{}, received.cleared});
+    clear(received.cleared);
+    SuspectRequests updates;
+    for (const SuspectRequest& suspicion : received.known) {
         if (!quarantine_.merge(suspicion, now))
             continue;
         note_quarantined(suspicion.content, now);
-        news.known.push_back(quarantine_.suspicion(suspicion.content, now));
+        updates.known.push_back(quarantine_.suspicion(suspicion.content, now));
     }
-    if (!news.known.empty())
-        send_to_entries(news);
+    if (!updates.known.empty())
+        send_to_entries(updates);
 }
 
 // Lifts the quarantine of requests that an endpoint has answered whole. Where the replicated log
@@ -48,20 +48,20 @@
 // removal too. Without that, a quarantine lifted before its entry was committed would come back
 // after a restart.
 void Coordinator::clear(const std::vector<Fingerprint>& contents) {
-    SuspectRequests news;
+    SuspectRequests updates;
     for (const Fingerprint& content : contents) {
         const bool held = quarantine_.left(content, BootClock::now()) > Duration::zero();
         if (!quarantine_.clear(content))
             continue;
-        news.cleared.push_back(content);
+        updates.cleared.push_back(content);
         if (leads() && (held || replica_->state().quarantined().contains(content))) {
             replica_->propose(QuarantineRequest{content, 0, 0, wall_millis()},
                               [](const Expected<ApplyResult>&) {});
             pump_soon();
         }
     }
-    if (!news.cleared.empty())
-        send_to_entries(news);
+    if (!updates.cleared.empty())
+        send_to_entries(updates);
 }
 
 void Coordinator::note_quarantined(const Fingerprint& content, Time now) {
@@ -77,14 +77,14 @@
     if (!leads())
         return;
     propose_quarantine(held);
-    ask_whether_ended(held);
+    probe_aborting_endpoints(held);
 }
 
 // Connections may also be aborted by the network, or by an endpoint that keeps running. An endpoint
 // that still answers as the same incarnation has not crashed, so the request did not crash it.
 // Without this check, a request that three running endpoints aborted would be quarantined for ten
 // minutes for all callers that send the same. Endpoints that did crash do not answer.
-void Coordinator::ask_whether_ended(const SuspectRequest& held) {
+void Coordinator::probe_aborting_endpoints(const SuspectRequest& held) {
     const std::size_t counted = std::min<std::size_t>(held.ends, held.endpoints.size());
     for (auto id = held.endpoints.end() - static_cast<std::ptrdiff_t>(counted);
          id != held.endpoints.end(); ++id) {
@@ -109,7 +109,7 @@
 // Sends a quarantine decision to all peers, so that the leader writes it into the log. A control
 // host that receives the reports of two crashes late may count them as one: on a busy machine one
 // control host of three quarantined a request, and neither the leader nor the log knew of it.
-void Coordinator::tell_peers(const SuspectRequest& held) {
+void Coordinator::send_decision_to_peers(const SuspectRequest& held) {
     send_to_peers(SuspectRequests{{held}, {}});
 }
 
@@ -122,7 +122,7 @@
 
 // Proposes the quarantines that are not in the log, or are there with fewer crashes: those that
 // were decided under an earlier leader, or have grown since. Runs once a second.
-void Coordinator::keep_quarantine() {
+void Coordinator::propose_missing_quarantines() {
     if (!leads())
         return;
     const auto& logged = replica_->state().quarantined();
@@ -140,20 +140,21 @@
         return;
     const Time now = BootClock::now();
     const std::int64_t now_ms = wall_millis();
-    SuspectRequests news;
+    SuspectRequests updates;
     for (const auto& [content, record] : logged) {
         const std::int64_t left_ms = record.until_ms - now_ms;
         if (left_ms <= 0)
             continue;
-        const SuspectRequest told{content, record.ends, {}, static_cast<std::uint32_t>(left_ms)};
-        if (quarantine_.merge(told, now))
-            news.known.push_back(quarantine_.suspicion(content, now));
+        const SuspectRequest received{
+            content, record.ends, {}, static_cast<std::uint32_t>(left_ms)};
+        if (quarantine_.merge(received, now))
+            updates.known.push_back(quarantine_.suspicion(content, now));
     }
     for (const auto& [content, record] : applied_quarantine_)
         if (!logged.contains(content) && record.until_ms > now_ms && quarantine_.clear(content))
-            news.cleared.push_back(content);
+            updates.cleared.push_back(content);
     applied_quarantine_ = logged;
-    send_to_entries(news);
+    send_to_entries(updates);
 }
 
 } // namespace liftweir
--- a/src/process/coordinatorregistry.cpp
+++ b/src/process/coordinatorregistry.cpp
@@ -12,12 +12,12 @@
 namespace {
 
 // Two heartbeat intervals with some slack: by then every live endpoint has registered again.
-constexpr Duration RememberedFor = std::chrono::milliseconds(3000);
+constexpr Duration RegistryCompleteAfter = std::chrono::milliseconds(3000);
 // An endpoint that has missed this many reports is no longer written to disk.
-constexpr int BeatsMissed = 2;
+constexpr int MissedReportsAllowed = 2;
 // About 200 bytes for each endpoint: with 930 of them less than 100 KB a second.
-constexpr Duration RosterEvery = std::chrono::milliseconds(2000);
-constexpr Duration RefusedLoggedEvery = std::chrono::milliseconds(1000);
+constexpr Duration CacheWriteInterval = std::chrono::milliseconds(2000);
+constexpr Duration RejectedLogInterval = std::chrono::milliseconds(1000);
 
 } // namespace
 
@@ -66,10 +66,10 @@
 void Coordinator::refused(const std::string& name, ReportFault fault) {
     const std::string why(name_of(fault));
     Metrics::instance().counter("liftweir_reports_refused", "why=\"" + why + "\"").add();
-    RefusedReports& kind = refused_[fault];
+    RejectedReports& kind = rejected_reports_[fault];
     ++kind.since;
     const Time now = BootClock::now();
-    if (now - kind.logged < RefusedLoggedEvery)
+    if (now - kind.logged < RejectedLogInterval)
         return;
     kind.logged = now;
     log(LogLevel::Warning, "report refused",
@@ -84,7 +84,7 @@
     if (!registry_.mark_gone(id, BootClock::now()))
         return;
     changed(registry_.find(id)->report, true);
-    telling_.run();
+    sending_changes_.run();
 }
 
 // Copies of registry ranges carry the age of each report.
@@ -96,19 +96,19 @@
 void Coordinator::on_alive(const EndpointsAlive& alive, Time now) {
     for (const EndpointId& id : alive.ids)
         registry_.seen_alive(id, now);
-    pass_on_settled();
+    forward_resolved();
 }
 
-void Coordinator::merge(const EndpointReport& report, bool first_hand, Time heard) {
+void Coordinator::merge(const EndpointReport& report, bool first_hand, Time seen) {
     const Registry::Item* before = registry_.find(report.id);
     const EndpointPhase phase = before == nullptr ? EndpointPhase::Serving : before->report.phase;
-    const bool is_change = registry_.merge(report, heard);
+    const bool is_change = registry_.merge(report, seen);
     if (first_hand)
         alive_.insert(report.id);
-    pass_on_settled();
-    settle_doubts(BootClock::now());
+    forward_resolved();
+    check_addresses(BootClock::now());
     if (first_hand && registry_.find(report.id) == nullptr)
-        pass_on_doubted(report);
+        forward_unconfirmed(report);
     if (!is_change)
         return;
     const EndpointReport& current = registry_.find(report.id)->report;
@@ -121,22 +121,22 @@
     // The endpoint gets its answer after this. From then on no entry host may send it requests, so
     // the change is sent now.
     if (first_hand && current.phase != EndpointPhase::Serving)
-        telling_.run();
+        sending_changes_.run();
     plan_soon();
 }
 
 // Forwards the shutdown of an endpoint whose registration is unconfirmed at this host. Other hosts
 // may have confirmed it, and have to know. Those that have not keep it unconfirmed as well.
-void Coordinator::pass_on_doubted(const EndpointReport& report) {
+void Coordinator::forward_unconfirmed(const EndpointReport& report) {
     if (report.phase == EndpointPhase::Serving)
         return;
     changes_.push_back(report);
-    telling_.run();
+    sending_changes_.run();
 }
 
 // Forwards endpoints whose address conflict was resolved. Those that have ended come first: a host
 // that received only the newer incarnation would treat it as unconfirmed.
-void Coordinator::pass_on_settled() {
+void Coordinator::forward_resolved() {
     for (const EndpointId& id : registry_.take_resolved()) {
         const EndpointReport& report = registry_.find(id)->report;
         log(LogLevel::Info, "address settled",
@@ -150,13 +150,13 @@
 
 // Resolves conflicts of two incarnations at one address by a probe: the answer at the address shows
 // which of them runs there.
-void Coordinator::settle_doubts(Time now) {
+void Coordinator::check_addresses(Time now) {
     for (const Registry::AddressCheck& question : registry_.take_address_checks(now))
         orders_.probe(question.endpoint, [this, question](bool alive) {
             if (!alive)
                 return;
             registry_.confirmed(question, BootClock::now());
-            pass_on_settled();
+            forward_resolved();
         });
 }
 
@@ -172,7 +172,7 @@
          {"rank", std::to_string(membership.rank)},
          {"sequence", std::to_string(report.sequence)}});
     (to_peers ? changes_ : entry_changes_).push_back(report);
-    telling_.schedule();
+    sending_changes_.schedule();
 }
 
 // Paced, since a message to each of hundreds of entry hosts in every turn of the event loop used up
@@ -195,31 +195,31 @@
     if (alive_.empty())
         return;
     EndpointsAlive message;
-    const std::set<EndpointId> heard = std::exchange(alive_, {});
-    message.ids.assign(heard.begin(), heard.end());
+    const std::set<EndpointId> seen = std::exchange(alive_, {});
+    message.ids.assign(seen.begin(), seen.end());
     send_to_peers(message);
 }
 
 // ---- kept for the next start
 
 bool Coordinator::settled(Time now) const {
-    return now - started_ > RememberedFor;
+    return now - started_ > RegistryCompleteAfter;
 }
 
 // Writes the known endpoints to disk, but after a start only once the registry is complete again:
 // until then the old file holds more. The old file is outdated where another control host kept
 // running in the meantime.
-void Coordinator::keep_roster(Time now) {
-    if (peer_settled_)
-        remembered_.clear();
-    const bool copied = peer_settled_ && !registry_.items().empty();
+void Coordinator::write_endpoint_cache(Time now) {
+    if (peer_has_registry_)
+        cached_endpoints_.clear();
+    const bool copied = peer_has_registry_ && !registry_.items().empty();
     if (!settled(now) && !copied)
         return;
-    remembered_.clear();
-    if (now < roster_due_)
+    cached_endpoints_.clear();
+    if (now < cache_write_due_)
         return;
-    roster_due_ = now + RosterEvery;
-    endpoint_cache_->keep(registry_, now - BeatsMissed * config_.bounds.beat);
+    cache_write_due_ = now + CacheWriteInterval;
+    endpoint_cache_->keep(registry_, now - MissedReportsAllowed * config_.bounds.beat);
 }
 
 } // namespace liftweir
