--- a/src/process/gateway.cpp
+++ b/src/process/gateway.cpp
@@ -14,24 +14,24 @@
 namespace {
 
 // How often stalled streams and calls past their time limits are looked for.
-constexpr Duration TickEvery = std::chrono::milliseconds(40);
-constexpr Duration SecondlyEvery = std::chrono::milliseconds(1000);
+constexpr Duration TickInterval = std::chrono::milliseconds(40);
+constexpr Duration HousekeepingInterval = std::chrono::milliseconds(1000);
 // The lease ends this much before a removed key must be rejected. This covers messages in flight, a
 // late turn of the event loop, and the drift of two clocks.
 constexpr Duration LeaseMargin = std::chrono::milliseconds(900);
-constexpr Duration LeastLease = std::chrono::milliseconds(500);
+constexpr Duration MinLease = std::chrono::milliseconds(500);
 // While a group stays stalled, control hosts are notified this often.
-constexpr Duration SuspectEvery = std::chrono::milliseconds(300);
+constexpr Duration StallReportInterval = std::chrono::milliseconds(300);
 // A stalled group gets no new requests for this long. Then one request tries it.
-constexpr Duration AvoidStalled = std::chrono::milliseconds(1000);
+constexpr Duration StalledAvoidTime = std::chrono::milliseconds(1000);
 constexpr Duration RetryAfterUnready = std::chrono::milliseconds(1000);
 // The load balancer probes readiness every second and removes a host after two failed probes. Until
 // then new requests are admitted, after that none. Where most hosts of a zone shut down together,
 // the balancer keeps sending to all of them, and requests admitted late would be aborted at the
 // end.
-constexpr Duration LeavingNotice = std::chrono::milliseconds(2600);
+constexpr Duration AdmissionGrace = std::chrono::milliseconds(2600);
 // Time kept free before the process is killed, for the last answers to be sent.
-constexpr Duration LeavingReserve = std::chrono::milliseconds(900);
+constexpr Duration ShutdownReserve = std::chrono::milliseconds(900);
 // A drained host waits this long for callers to close their connections after the last answers.
 constexpr Duration DrainedLinger = std::chrono::milliseconds(300);
 // Time for the last answers to be sent: once no call is in flight, and where calls were aborted.
@@ -39,7 +39,7 @@
 constexpr Duration LastAnswersWhenLate = std::chrono::milliseconds(200);
 // The record of a stalled endpoint is dropped after this many intervals of StallReportInterval
 // without a stall.
-constexpr int SuspicionRoundsKept = 10;
+constexpr int StallRecordIntervals = 10;
 
 HttpServerLimits limits_of(const CallerLimits& limits) {
     HttpServerLimits out;
@@ -59,11 +59,11 @@
       protocol_(protocol),
       decode_(std::move(decode)),
       identity_{ProcessRole::Entry, config_.name, new_incarnation()},
-      lease_({}, identity_.incarnation, std::max(LeastLease, config_.bounds.revoke - LeaseMargin)),
+      lease_({}, identity_.incarnation, std::max(MinLease, config_.bounds.revoke - LeaseMargin)),
       directory_(identity_.incarnation),
       pool_(make_channel_pool(io)),
       random_(static_cast<std::minstd_rand::result_type>(identity_.incarnation)),
-      ticker_(io, TickEvery, [this] { tick(); }) {}
+      ticker_(io, TickInterval, [this] { tick(); }) {}
 
 Gateway::~Gateway() = default;
 
@@ -76,7 +76,8 @@
     });
     metrics_ = serve_metrics(io_, config_.metrics);
     gauges_.add("liftweir_calls_in_flight", [this] { return static_cast<double>(calls_.size()); });
-    gauges_.add("liftweir_requests_held", [this] { return static_cast<double>(held_.size()); });
+    gauges_.add("liftweir_requests_held",
+                [this] { return static_cast<double>(startup_queue_.size()); });
     gauges_.add("liftweir_requests_quarantined",
                 [this] { return static_cast<double>(quarantine_.held(BootClock::now())); });
     gauges_.add("liftweir_endpoints_limited",
@@ -103,7 +104,7 @@
     callers_->set_limits(limits_of(table_->deployment().limits));
     for (const Service& service : table_->deployment().services)
         if (!budgets_.contains(service.name))
-            budget(service.name).set_share(share_);
+            budget(service.name).set_share(load_share_);
 }
 
 WindowedRetryBudget& Gateway::budget(const std::string& service) {
@@ -113,8 +114,8 @@
         .first->second;
 }
 
-void Gateway::answer_self(HttpExchange& exchange, const CallerRequest& request, int status,
-                          const char* kind, Duration retry_after) {
+void Gateway::respond_error(HttpExchange& exchange, const CallerRequest& request, int status,
+                            const char* kind, Duration retry_after) {
     Metrics::instance().counter("liftweir_refused", std::string("kind=\"") + kind + "\"").add();
     log(LogLevel::Info, "refused",
         {{"request", request.id},
@@ -145,12 +146,12 @@
     if (!plan.route->needs_key || plan.table->deployment().customers.empty())
         return true;
     if (!lease_holds(now)) {
-        answer_self(exchange, request, 503, "no_lease", RetryAfterUnready);
+        respond_error(exchange, request, 503, "no_lease", RetryAfterUnready);
         return false;
     }
     const CustomerKeys* customer = request.key ? plan.table->customer(*request.key) : nullptr;
     if (customer == nullptr) {
-        answer_self(exchange, request, 401, "unauthorized", Duration::zero());
+        respond_error(exchange, request, 401, "unauthorized", Duration::zero());
         return false;
     }
     plan.customer = customer->name;
@@ -161,25 +162,25 @@
     const CallerRequest request = protocol_.read(*exchange);
     const Time now = BootClock::now();
     if (!request.wellformed) {
-        answer_self(*exchange, request, 400, "bad_request", Duration::zero());
+        respond_error(*exchange, request, 400, "bad_request", Duration::zero());
         return;
     }
     if (leaving_since_ != Time{})
-        note_taken_while_leaving(*exchange, request, now);
-    if (drains(now)) {
-        answer_self(*exchange, request, 503, "leaving", RetryAfterUnready);
+        note_admitted_while_leaving(*exchange, request, now);
+    if (is_draining(now)) {
+        respond_error(*exchange, request, 503, "leaving", RetryAfterUnready);
         return;
     }
     if (in_service(now))
         admit(exchange, request);
-    else if (leaving_since_ != Time{} || !held_.take(exchange, request, now))
-        answer_self(*exchange, request, 503, "no_settings", RetryAfterUnready);
+    else if (leaving_since_ != Time{} || !startup_queue_.take(exchange, request, now))
+        respond_error(*exchange, request, 503, "no_settings", RetryAfterUnready);
 }
 
 // Records whether a late request came on a kept connection, or on a new one because the load
 // balancer still sends requests.
-void Gateway::note_taken_while_leaving(const HttpExchange& exchange, const CallerRequest& request,
-                                       Time now) {
+void Gateway::note_admitted_while_leaving(const HttpExchange& exchange,
+                                          const CallerRequest& request, Time now) {
     const std::string connection = exchange.on_reused_connection() ? "kept" : "new";
     Metrics::instance()
         .counter("liftweir_taken_while_leaving", "connection=\"" + connection + "\"")
@@ -197,20 +198,20 @@
     return table_ != nullptr && (ever_in_service_ || lease_holds(now));
 }
 
-void Gateway::settle_held(Time now) {
+void Gateway::admit_queued(Time now) {
     if (ever_in_service_)
         return;
     if (in_service(now)) {
         ever_in_service_ = true;
         in_service_since_ = now;
-        const std::vector<StartupQueue::QueuedRequest> held = held_.release();
+        const std::vector<StartupQueue::QueuedRequest> held = startup_queue_.release();
         log(LogLevel::Info, "in service", {{"held_requests", std::to_string(held.size())}});
         for (const StartupQueue::QueuedRequest& item : held)
             admit(item.exchange, item.request);
         return;
     }
-    for (const StartupQueue::QueuedRequest& item : held_.expired(now))
-        answer_self(*item.exchange, item.request, 503, "no_settings", RetryAfterUnready);
+    for (const StartupQueue::QueuedRequest& item : startup_queue_.expired(now))
+        respond_error(*item.exchange, item.request, 503, "no_settings", RetryAfterUnready);
 }
 
 void Gateway::admit(const std::shared_ptr<HttpExchange>& exchange, const CallerRequest& request) {
@@ -220,9 +221,10 @@
     plan.route = table_->find(request.host, request.path);
     if (plan.route == nullptr) {
         // Without contact to control, the route may just have been added.
-        const bool sure = lease_holds(now);
-        answer_self(*exchange, request, sure ? 404 : 503, sure ? "not_found" : "no_lease",
-                    sure ? Duration::zero() : RetryAfterUnready);
+        const bool has_lease = lease_holds(now);
+        respond_error(*exchange, request, has_lease ? 404 : 503,
+                      has_lease ? "not_found" : "no_lease",
+                      has_lease ? Duration::zero() : RetryAfterUnready);
         return;
     }
     if (!authorise(*exchange, request, now, plan))
@@ -231,7 +233,7 @@
     if (request.time_limit)
         plan.waited_before =
             waits_.waited(plan.route->name, *request.time_limit, plan.route->timeout, now);
-    ++calls_taken_;
+    ++calls_admitted_;
     const auto call = std::make_shared<RelayedCall>(*this, exchange, request, plan);
     calls_.insert(call);
     call->start();
@@ -261,51 +263,51 @@
     const Time now = BootClock::now();
     if (now >= renew_due_)
         renew(now);
-    end_silent_links(now);
-    if (now >= tell_due_)
-        tell_shares(now);
-    if (now >= second_due_) {
-        second_due_ = now + SecondlyEvery;
+    close_unresponsive_links(now);
+    if (now >= load_report_due_)
+        send_load(now);
+    if (now >= housekeeping_due_) {
+        housekeeping_due_ = now + HousekeepingInterval;
         directory_.expire(now);
         quarantine_.expire(now);
         directory_.limits().expire(
             [this](const EndpointId& id) { return directory_.registry().find(id) != nullptr; },
             now);
-        tell_limits(now);
+        send_limits(now);
     }
-    settle_held(now);
-    ask_for_agreed(now);
-    forget_unconfirmed(now);
-    watch_stalls(now);
+    admit_queued(now);
+    request_agreed_ranges(now);
+    drop_unconfirmed(now);
+    check_stalls(now);
     for (const auto& call : calls())
         call->tick(now);
     std::erase_if(calls_, [](const auto& call) { return call->done(); });
     maybe_stop(now);
 }
 
-void Gateway::watch_stalls(Time now) {
-    std::vector<EndpointId> still;
+void Gateway::check_stalls(Time now) {
+    std::vector<EndpointId> stalled_endpoints;
     for (const auto& [id, use] : directory_.uses())
         if (use.watch.stalled(now) > Duration::zero())
-            still.push_back(id);
-    for (const EndpointId& id : still) {
+            stalled_endpoints.push_back(id);
+    for (const EndpointId& id : stalled_endpoints) {
         EndpointUse& use = directory_.use(id);
-        use.avoid_until = now + AvoidStalled;
-        tell_suspicion(id, now);
+        use.avoid_until = now + StalledAvoidTime;
+        report_stall(id, now);
         for (const auto& call : calls())
             call->stalled(id, now);
     }
-    std::erase_if(suspected_, [&](const auto& item) {
-        return now - item.second > SuspicionRoundsKept * SuspectEvery;
+    std::erase_if(stall_reports_, [&](const auto& item) {
+        return now - item.second > StallRecordIntervals * StallReportInterval;
     });
 }
 
-void Gateway::tell_suspicion(const EndpointId& id, Time now) {
-    Time& told = suspected_[id];
+void Gateway::report_stall(const EndpointId& id, Time now) {
+    Time& reported_at = stall_reports_[id];
     const Registry::Item* item = directory_.registry().find(id);
-    if (now - told <= SuspectEvery || item == nullptr || !item->report.grouped())
+    if (now - reported_at <= StallReportInterval || item == nullptr || !item->report.grouped())
         return;
-    told = now;
+    reported_at = now;
     const StallDetector& watch = directory_.use(id).watch;
     const std::int64_t silent = to_millis(watch.stalled(now));
     log(LogLevel::Info, "group stands still",
@@ -332,15 +334,15 @@
 }
 
 // Whether new requests are rejected and only the calls in flight are finished.
-bool Gateway::drains(Time now) const {
-    return stopped_ || (leaving_since_ != Time{} && now - leaving_since_ > LeavingNotice);
+bool Gateway::is_draining(Time now) const {
+    return stopped_ || (leaving_since_ != Time{} && now - leaving_since_ > AdmissionGrace);
 }
 
 // A host without calls stops listening: a refused connection moves a caller to another host sooner
 // than an error answer does, and late callers can not delay the shutdown. Requests that are still
 // being received, and answers that callers read slowly, are not calls, and are waited for too.
 bool Gateway::drained(Time now) {
-    if (!drains(now) || !calls_.empty())
+    if (!is_draining(now) || !calls_.empty())
         return false;
     if (drained_since_ == Time{}) {
         drained_since_ = now;
@@ -354,9 +356,9 @@
 void Gateway::maybe_stop(Time now) {
     if (leaving_since_ == Time{} || stopped_)
         return;
-    if (drains(now))
+    if (is_draining(now))
         callers_->close_idle();
-    const bool late = now - leaving_since_ > config_.bounds.grace - LeavingReserve;
+    const bool late = now - leaving_since_ > config_.bounds.grace - ShutdownReserve;
     if (late)
         for (const auto& call : calls())
             call->abandon();
--- a/src/process/gateway.h
+++ b/src/process/gateway.h
@@ -61,16 +61,16 @@
     // links to control hosts
     void connect_to(const std::string& address);
     void renew(Time now);
-    void end_silent_links(Time now);
+    void close_unresponsive_links(Time now);
     void on_message(const std::string& address, WireMessage&& message);
     void choose_source();
-    void forget_told(const std::string& address);
-    Version told_of(const std::string& address) const;
+    void forget_announced(const std::string& address);
+    Version announced_version(const std::string& address) const;
     LeaseRenewal make_renew(const std::string& address, Time now);
     void on_lease_ack(const std::string& address, const LeaseAck& lease_ack);
-    void learn_share(const LeaseAck& lease_ack);
-    void note_lease(Time now);
-    void tell_shares(Time now);
+    void update_load_share(const LeaseAck& lease_ack);
+    void record_lease_change(Time now);
+    void send_load(Time now);
     void on_document(const DocumentPush& push);
     void send_to_control(const WireMessage& message);
     bool lease_holds(Time now) const;
@@ -78,46 +78,46 @@
     // registrations of endpoints, from control hosts
     void on_changes(const EndpointChanges& changes);
     void on_digests(const std::string& address, const RegistryDigests& digests);
-    void ask_for_agreed(Time now);
-    void forget_connections(const EndpointReport& report);
-    void on_remembered(const EndpointsRestored& remembered);
-    void forget_unconfirmed(Time now);
+    void request_agreed_ranges(Time now);
+    void close_connections(const EndpointReport& report);
+    void on_restored(const EndpointsRestored& remembered);
+    void drop_unconfirmed(Time now);
 
     // quarantine of requests that crash endpoints
-    void tell_cut_off();
-    void tell_suspicions(const std::string& address);
-    void on_suspicions(const SuspectRequests& told);
+    void send_aborted();
+    void send_suspects(const std::string& address);
+    void on_suspects(const SuspectRequests& received);
     void note_quarantined(const Fingerprint& content, Time now);
 
     // limits and shutdown notices that endpoints send in their answers
-    void on_leaving(const EndpointsLeaving& told);
-    void tell_limits(Time now);
-    void on_limit_words(const LimitReports& told);
-    void on_loans(const std::string& address, const LimitShares& lent);
-    static void ignored(const EndpointId& id, const char* what, NumberFault fault);
+    void on_leaving(const EndpointsLeaving& received);
+    void send_limits(Time now);
+    void on_limit_reports(const LimitReports& received);
+    void on_limit_shares(const std::string& address, const LimitShares& granted);
+    static void note_ignored_header(const EndpointId& id, const char* what, NumberFault fault);
     void limit_changed(const EndpointId& id, const char* from);
 
     // calls
     void put_in_force(Deployment deployment);
     void on_request(const std::shared_ptr<HttpExchange>& exchange);
     void admit(const std::shared_ptr<HttpExchange>& exchange, const CallerRequest& request);
-    void note_taken_while_leaving(const HttpExchange& exchange, const CallerRequest& request,
-                                  Time now);
+    void note_admitted_while_leaving(const HttpExchange& exchange, const CallerRequest& request,
+                                     Time now);
     bool in_service(Time now) const;
-    void settle_held(Time now);
-    void answer_self(HttpExchange& exchange, const CallerRequest& request, int status,
-                     const char* kind, Duration retry_after);
+    void admit_queued(Time now);
+    void respond_error(HttpExchange& exchange, const CallerRequest& request, int status,
+                       const char* kind, Duration retry_after);
     bool authorise(HttpExchange& exchange, const CallerRequest& request, Time now,
                    RelayedCallRoute& plan);
     const Service* choose_service(const RouteTable& table, const Route& route);
     std::set<std::shared_ptr<RelayedCall>> calls() const { return calls_; }
     void tick();
-    void watch_stalls(Time now);
-    void tell_suspicion(const EndpointId& id, Time now);
+    void check_stalls(Time now);
+    void report_stall(const EndpointId& id, Time now);
 
     // shutdown
     bool ready() const;
-    bool drains(Time now) const;
+    bool is_draining(Time now) const;
     bool drained(Time now);
     void maybe_stop(Time now);
     void stop(Duration last_answers);
@@ -133,34 +133,34 @@
     bool ever_in_service_ = false;
     Time in_service_since_{};
     CallerWaitEstimator waits_;
-    StartupQueue held_; // requests that arrive before this host is in service for the first time
+    StartupQueue startup_queue_; // holds requests until this host is first in service
     Directory directory_;
     std::unique_ptr<HttpChannelPool> pool_;
     std::unique_ptr<HttpServer> callers_;
     std::unique_ptr<HttpServer> ready_;
     std::unique_ptr<HttpServer> metrics_;
     std::map<std::string, std::unique_ptr<Dialer>> control_; // by link address
-    std::map<std::string, NodeId> nodes_;    // by link address, from the control hosts' answers
-    std::map<std::string, Version> told_of_; // newest document's log index, by the host that has it
-    std::string source_;                     // control host that is asked for the document
+    std::map<std::string, NodeId> nodes_; // by link address, from the control hosts' answers
+    std::map<std::string, Version> announced_versions_; // newest document, by link address
+    std::string source_; // control host that is asked for the document
     StoredDocument document_;
     std::shared_ptr<const RouteTable> table_;
     std::map<std::string, WindowedRetryBudget> budgets_; // by service
     std::set<std::shared_ptr<RelayedCall>> calls_;
     RegistryRepair repair_;
-    std::map<EndpointId, Time> suspected_; // when a stall was last reported to control hosts
+    std::map<EndpointId, Time> stall_reports_; // when a stall was last reported to control hosts
     Quarantine quarantine_;
-    std::map<EndpointId, std::vector<AbortedRequest>> cut_off_; // not reported to control hosts yet
+    std::map<EndpointId, std::vector<AbortedRequest>> aborted_; // not reported to control hosts yet
     std::set<EndpointId> unconfirmed_; // cached endpoints without a report since
-    std::uint64_t calls_taken_ = 0;
-    double share_ = 0.1; // this host's share of all calls in flight
+    std::uint64_t calls_admitted_ = 0;
+    double load_share_ = 0.1; // this host's share of all calls in flight
     std::minstd_rand random_;
-    NodeId leader_ = NoNode;   // as control hosts report it
-    Duration tell_every_{};    // interval of the load reports
-    bool told_shares_ = false; // the last load report was not empty
-    Time tell_due_{};
+    NodeId leader_ = NoNode;          // as control hosts report it
+    Duration load_report_interval_{}; // interval of the load reports
+    bool sent_load_ = false;          // the last load report was not empty
+    Time load_report_due_{};
     Time renew_due_{};
-    Time second_due_{};
+    Time housekeeping_due_{};
     Time leaving_since_{};
     Time drained_since_{};
     bool stopped_ = false; // the last answers are being sent; no request is admitted any more
--- a/src/process/gatewaycontrol.cpp
+++ b/src/process/gatewaycontrol.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-constexpr Duration RenewEvery = std::chrono::milliseconds(1000);
+constexpr Duration RenewalInterval = std::chrono::milliseconds(1000);
 // Renewal interval while a control host has newer settings than this host.
-constexpr Duration RenewBehindEvery = std::chrono::milliseconds(150);
+constexpr Duration RenewalIntervalWhenBehind = std::chrono::milliseconds(150);
 // How late an endpoint's report may arrive.
-constexpr Duration BeatSlack = std::chrono::milliseconds(400);
-constexpr double ShareSmoothing = 0.3;
+constexpr Duration HeartbeatSlack = std::chrono::milliseconds(400);
+constexpr double LoadShareSmoothing = 0.3;
 // Lower bound of this host's share of all calls.
-constexpr double LeastShare = 0.02;
+constexpr double MinLoadShare = 0.02;
 
 } // namespace
 
@@ -33,8 +33,8 @@
         [this, address](const Link::Ptr&) {
             renew_due_ = {};
             repair_.forget(address);
-            forget_told(address);
-            tell_suspicions(address);
+            forget_announced(address);
+            send_suspects(address);
         },
         [this, address](const Link::Ptr&, WireMessage&& m) { on_message(address, std::move(m)); },
         [](const Link::Ptr&) {});
@@ -47,7 +47,7 @@
 }
 
 void Gateway::renew(Time now) {
-    renew_due_ = now + (lease_.behind() ? RenewBehindEvery : RenewEvery);
+    renew_due_ = now + (lease_.behind() ? RenewalIntervalWhenBehind : RenewalInterval);
     choose_source();
     for (const auto& [address, dialer] : control_)
         if (dialer->up()) {
@@ -56,7 +56,7 @@
         }
 }
 
-void Gateway::end_silent_links(Time now) {
+void Gateway::close_unresponsive_links(Time now) {
     for (const auto& [address, dialer] : control_)
         dialer->close_if_unresponsive(now);
 }
@@ -69,30 +69,30 @@
     Version newest = 0;
     for (const auto& [address, dialer] : control_)
         if (dialer->up())
-            newest = std::max(newest, told_of(address));
+            newest = std::max(newest, announced_version(address));
     const auto source = control_.find(source_);
     const bool up = source != control_.end() && source->second->up();
-    const bool answered = told_of_.contains(source_);
-    if (up && (!answered || told_of(source_) >= newest || document_.index >= newest))
+    const bool answered = announced_versions_.contains(source_);
+    if (up && (!answered || announced_version(source_) >= newest || document_.index >= newest))
         return;
-    std::vector<std::string> fit;
+    std::vector<std::string> candidates;
     for (const auto& [address, dialer] : control_)
-        if (dialer->up() && told_of(address) >= newest)
-            fit.push_back(address);
-    source_ = fit.empty() ? "" : fit[random_() % fit.size()];
+        if (dialer->up() && announced_version(address) >= newest)
+            candidates.push_back(address);
+    source_ = candidates.empty() ? "" : candidates[random_() % candidates.size()];
 }
 
 // Called for a new link: messages in flight on the old link are lost, and a host that did not
 // answer on the old link is no longer waited for.
-void Gateway::forget_told(const std::string& address) {
-    told_of_.erase(address);
+void Gateway::forget_announced(const std::string& address) {
+    announced_versions_.erase(address);
     if (address == source_)
         source_.clear();
 }
 
-Version Gateway::told_of(const std::string& address) const {
-    const auto found = told_of_.find(address);
-    return found == told_of_.end() ? 0 : found->second;
+Version Gateway::announced_version(const std::string& address) const {
+    const auto found = announced_versions_.find(address);
+    return found == announced_versions_.end() ? 0 : found->second;
 }
 
 LeaseRenewal Gateway::make_renew(const std::string& address, Time now) {
@@ -102,7 +102,7 @@
     renew.lease = document_.index;
     renew.want_delta = address == source_;
     renew.registry = directory_.registry().digest();
-    renew.calls = calls_taken_;
+    renew.calls = calls_admitted_;
     renew.in_flight = static_cast<std::uint32_t>(calls_.size());
     const auto node = nodes_.find(address);
     renew.sequence = node == nodes_.end() ? 0 : lease_.asked(node->second, now);
@@ -119,20 +119,20 @@
     } else if (const auto* changes = std::get_if<EndpointChanges>(&message)) {
         on_changes(*changes);
     } else if (const auto* remembered = std::get_if<EndpointsRestored>(&message)) {
-        on_remembered(*remembered);
+        on_restored(*remembered);
     } else if (const auto* digests = std::get_if<RegistryDigests>(&message)) {
         on_digests(address, *digests);
     } else if (const auto* suspicions = std::get_if<SuspectRequests>(&message)) {
-        on_suspicions(*suspicions);
-    } else if (const auto* words = std::get_if<LimitReports>(&message)) {
-        on_limit_words(*words);
+        on_suspects(*suspicions);
+    } else if (const auto* limit_reports = std::get_if<LimitReports>(&message)) {
+        on_limit_reports(*limit_reports);
     } else if (const auto* leaving = std::get_if<EndpointsLeaving>(&message)) {
         on_leaving(*leaving);
     } else if (const auto* limit_shares = std::get_if<LimitShares>(&message)) {
-        on_loans(address, *limit_shares);
+        on_limit_shares(address, *limit_shares);
     } else if (const auto* shares = std::get_if<GroupLoadReports>(&message)) {
-        tell_every_ = std::chrono::milliseconds(shares->interval_ms);
-        directory_.set_load_of_others(shares->shares, tell_every_, BootClock::now());
+        load_report_interval_ = std::chrono::milliseconds(shares->interval_ms);
+        directory_.set_load_of_others(shares->shares, load_report_interval_, BootClock::now());
     }
 }
 
@@ -151,50 +151,50 @@
     }
     const bool was_behind = lease_.behind();
     lease_.on_lease_ack(lease_ack, document_.index, now);
-    told_of_[address] = lease_ack.table;
+    announced_versions_[address] = lease_ack.table;
     if (lease_ack.leader != NoNode)
         leader_ = lease_ack.leader;
     // By the next renewal the source has announced the new document too, or another one is chosen.
     if (lease_ack.table > document_.index || (lease_.behind() && !was_behind))
-        renew_due_ = std::min(renew_due_, now + RenewBehindEvery);
-    learn_share(lease_ack);
-    note_lease(now);
+        renew_due_ = std::min(renew_due_, now + RenewalIntervalWhenBehind);
+    update_load_share(lease_ack);
+    record_lease_change(now);
 }
 
 // Updates this host's share of all calls in flight; an equal share where it has no calls.
-void Gateway::learn_share(const LeaseAck& lease_ack) {
+void Gateway::update_load_share(const LeaseAck& lease_ack) {
     if (lease_ack.sequence != 0 && lease_ack.in_flight_total > 0 && !calls_.empty()) {
         const double seen = static_cast<double>(calls_.size()) /
                             std::max<double>(lease_ack.in_flight_total, calls_.size());
-        share_ += ShareSmoothing * (seen - share_);
+        load_share_ += LoadShareSmoothing * (seen - load_share_);
     } else if (lease_ack.sequence != 0 && lease_ack.entries > 0 && calls_.empty()) {
-        share_ += ShareSmoothing * (1.0 / lease_ack.entries - share_);
+        load_share_ += LoadShareSmoothing * (1.0 / lease_ack.entries - load_share_);
     }
-    directory_.set_fleet_load_ratio(1 / std::max(share_, LeastShare));
+    directory_.set_fleet_load_ratio(1 / std::max(load_share_, MinLoadShare));
     for (auto& [service, budget] : budgets_)
-        budget.set_share(share_);
+        budget.set_share(load_share_);
 }
 
-void Gateway::note_lease(Time now) {
+void Gateway::record_lease_change(Time now) {
     const bool holds = lease_holds(now);
     if (holds != std::exchange(had_lease_, holds))
         log(LogLevel::Info, holds ? "settings lease held" : "settings lease lost",
             {{"document", std::to_string(document_.version)}});
-    settle_held(BootClock::now());
+    admit_queued(BootClock::now());
 }
 
 // Sends this host's load report to the leading control host, which sends each entry host the load
 // of the others. A host that becomes idle sends one empty report.
-void Gateway::tell_shares(Time now) {
-    tell_due_ = now + std::max(LoadReportInterval, tell_every_);
+void Gateway::send_load(Time now) {
+    load_report_due_ = now + std::max(LoadReportInterval, load_report_interval_);
     const auto leader = control_.find(address_of(leader_, config_.link_port));
     if (leader == control_.end() || !leader->second->up() || leader->second->backed_up())
         return;
     GroupLoadReports message{config_.name, 0, directory_.own_load()};
     const bool has_some = !message.shares.empty();
-    if (has_some || told_shares_)
+    if (has_some || sent_load_)
         leader->second->send(message);
-    told_shares_ = has_some;
+    sent_load_ = has_some;
 }
 
 // Ignores a document that is older than the one in force.
@@ -225,7 +225,7 @@
 
 // Adds the cached endpoints of a control host that has restarted. A host that has been in service
 // for some time has newer reports and ignores them.
-void Gateway::on_remembered(const EndpointsRestored& remembered) {
+void Gateway::on_restored(const EndpointsRestored& remembered) {
     const Time now = BootClock::now();
     if (ever_in_service_ && !discovering_endpoints(now))
         return;
@@ -240,7 +240,7 @@
         log(LogLevel::Info, "endpoints remembered", {{"added", std::to_string(added)}});
 }
 
-void Gateway::forget_unconfirmed(Time now) {
+void Gateway::drop_unconfirmed(Time now) {
     if (unconfirmed_.empty() || !ever_in_service_ || discovering_endpoints(now))
         return;
     log(LogLevel::Info, "endpoints not heard of again",
@@ -261,14 +261,14 @@
         changed = true;
         if (report.phase == EndpointPhase::Gone)
             if (const auto* item = directory_.registry().find(report.id))
-                forget_connections(item->report);
+                close_connections(item->report);
     }
     // Endpoints that another report has ended: one of a later incarnation under their name, or one
     // without a process start.
     for (const EndpointId& id : directory_.registry().take_resolved()) {
         changed = true;
         if (const auto* item = directory_.registry().find(id))
-            forget_connections(item->report);
+            close_connections(item->report);
     }
     if (!changed)
         return;
@@ -288,7 +288,7 @@
 
 // Asks for the ranges that control hosts agree upon. Does not wait for the next digests, which come
 // once a second while callers wait.
-void Gateway::ask_for_agreed(Time now) {
+void Gateway::request_agreed_ranges(Time now) {
     if (!discovering_endpoints(now))
         return;
     const auto ask = repair_.agreed_ranges(directory_.registry().range_digests(), now);
@@ -298,7 +298,7 @@
 
 // Closes the idle connections to an ended endpoint, unless another incarnation has its name or
 // address: connections to that one stay usable.
-void Gateway::forget_connections(const EndpointReport& report) {
+void Gateway::close_connections(const EndpointReport& report) {
     if (!directory_.registry().replaced(report))
         pool_->forget(report.address);
 }
@@ -306,12 +306,12 @@
 // After a loss of all registries, control hosts receive a report of each endpoint within one
 // heartbeat interval.
 bool Gateway::discovering_endpoints(Time now) const {
-    return now - in_service_since_ < config_.bounds.beat + BeatSlack;
+    return now - in_service_since_ < config_.bounds.beat + HeartbeatSlack;
 }
 
 // A cached endpoint without a report since is removed at its first failed connection.
 void Gateway::unreachable(const EndpointId& id) {
-    tell_suspicion(id, BootClock::now());
+    report_stall(id, BootClock::now());
     if (unconfirmed_.erase(id) > 0)
         directory_.registry().forget(id);
 }
--- a/src/process/gatewaylimits.cpp
+++ b/src/process/gatewaylimits.cpp
@@ -16,7 +16,7 @@
         renew_due_ = {};
 }
 
-void Gateway::ignored(const EndpointId& id, const char* what, NumberFault fault) {
+void Gateway::note_ignored_header(const EndpointId& id, const char* what, NumberFault fault) {
     const std::string why(name_of(fault));
     Metrics::instance()
         .counter("liftweir_endpoint_words_ignored",
@@ -34,8 +34,8 @@
     send_to_control(EndpointsLeaving{{id}});
 }
 
-void Gateway::on_leaving(const EndpointsLeaving& told) {
-    for (const EndpointId& id : told.ids)
+void Gateway::on_leaving(const EndpointsLeaving& received) {
+    for (const EndpointId& id : received.ids)
         if (directory_.note_leaving(id, BootClock::now()))
             log(LogLevel::Info, "endpoint leaves",
                 {{"endpoint", text_of(id)}, {"from", "control"}});
@@ -43,7 +43,7 @@
 
 void Gateway::note_backoff(const EndpointId& id, const ResponseSignals& note) {
     if (note.backoff_fault != NumberFault::None) {
-        ignored(id, "rest", note.backoff_fault);
+        note_ignored_header(id, "rest", note.backoff_fault);
         return;
     }
     directory_.back_off(id, note.backoff, BootClock::now());
@@ -54,37 +54,37 @@
 
 void Gateway::note_limit(const EndpointId& id, const ResponseSignals& note, Time sent) {
     if (note.limit_fault != NumberFault::None) {
-        ignored(id, "limit", note.limit_fault);
+        note_ignored_header(id, "limit", note.limit_fault);
         return;
     }
     if (!directory_.limits().book().add_report(id, note.limit_per_second, sent))
         return;
     limit_changed(id, "answer");
-    tell_limits(BootClock::now());
+    send_limits(BootClock::now());
 }
 
 // Sends all limits each time: they are few, and a control host that has just started knows none.
-void Gateway::tell_limits(Time now) {
+void Gateway::send_limits(Time now) {
     const ReportedLimits& book = directory_.limits().book();
     if (!book.empty())
         send_to_control(LimitReports{book.reports(now)});
 }
 
-void Gateway::on_limit_words(const LimitReports& told) {
+void Gateway::on_limit_reports(const LimitReports& received) {
     const Time now = BootClock::now();
-    for (const LimitReport& word : told.reports)
-        if (directory_.limits().book().merge(word, now))
-            limit_changed(word.endpoint, "control");
+    for (const LimitReport& limit_report : received.reports)
+        if (directory_.limits().book().merge(limit_report, now))
+            limit_changed(limit_report.endpoint, "control");
 }
 
 // The share expires a fixed time after its renewal was sent, however long the answer took. The
 // leader counts that time from when it received the renewal, so it never expires a share earlier.
-void Gateway::on_loans(const std::string& address, const LimitShares& lent) {
+void Gateway::on_limit_shares(const std::string& address, const LimitShares& granted) {
     const auto node = nodes_.find(address);
     if (node == nodes_.end())
         return;
-    if (const auto asked = lease_.asked_at(node->second, lent.sequence))
-        directory_.limits().grant_shares(lent.limit_shares, *asked + LimitShareTime);
+    if (const auto asked = lease_.asked_at(node->second, granted.sequence))
+        directory_.limits().grant_shares(granted.limit_shares, *asked + LimitShareTime);
 }
 
 } // namespace liftweir
--- a/src/process/gatewayquarantine.cpp
+++ b/src/process/gatewayquarantine.cpp
@@ -12,9 +12,9 @@
 // An endpoint that crashes aborts all its calls in one turn of the event loop. They are reported in
 // one message.
 void Gateway::aborted(const AbortedRequest& request, const EndpointId& id) {
-    if (cut_off_.empty())
-        asio::post(io_, [this] { tell_cut_off(); });
-    cut_off_[id].push_back(request);
+    if (aborted_.empty())
+        asio::post(io_, [this] { send_aborted(); });
+    aborted_[id].push_back(request);
     const Time now = BootClock::now();
     if (!quarantine_.aborted(request, id, now))
         return;
@@ -22,8 +22,8 @@
     send_to_control(SuspectRequests{{quarantine_.suspicion(request.content, now)}, {}});
 }
 
-void Gateway::tell_cut_off() {
-    for (auto& [endpoint, requests] : std::exchange(cut_off_, {}))
+void Gateway::send_aborted() {
+    for (auto& [endpoint, requests] : std::exchange(aborted_, {}))
         send_to_control(RequestsAborted{endpoint, std::move(requests)});
 }
 
@@ -35,17 +35,17 @@
 }
 
 // A control host that has restarted gets back from entry hosts what it knew before.
-void Gateway::tell_suspicions(const std::string& address) {
+void Gateway::send_suspects(const std::string& address) {
     const std::vector<SuspectRequest> known = quarantine_.suspects_to_send(BootClock::now());
     if (!known.empty())
         control_[address]->send(SuspectRequests{known, {}});
 }
 
-void Gateway::on_suspicions(const SuspectRequests& told) {
+void Gateway::on_suspects(const SuspectRequests& received) {
     const Time now = BootClock::now();
-    for (const Fingerprint& content : told.cleared)
+    for (const Fingerprint& content : received.cleared)
         quarantine_.clear(content);
-    for (const SuspectRequest& suspicion : told.known)
+    for (const SuspectRequest& suspicion : received.known)
         if (quarantine_.merge(suspicion, now))
             note_quarantined(suspicion.content, now);
 }
