--- a/src/process/logging.cpp
+++ b/src/process/logging.cpp
@@ -28,7 +28,7 @@
 // Enough for about ten lines for each request of a busy entry host; 0.125 MB a second.
 constexpr std::uint32_t LinesPerSecond = 600;
 // A pipe that polls as writable takes this many bytes without blocking (POSIX PIPE_BUF).
-constexpr std::size_t LongestLine = 4096;
+constexpr std::size_t MaxLineBytes = 4096;
 
 std::string process_name;
 bool on_terminal = false;
@@ -36,7 +36,7 @@
 
 // Writes formatted lines to standard output and drops those for which it would block: a reader that
 // has stopped must not stop the process.
-class NonBlockingBackend
+class NonBlockingSink
     : public blog::sinks::basic_formatted_sink_backend<char, blog::sinks::synchronized_feeding> {
   public:
     void consume(const blog::record_view&, const string_type& line) {
@@ -91,7 +91,7 @@
 }
 
 bool try_write_line(int descriptor, std::string_view line) {
-    std::string bytes(line.substr(0, LongestLine - 1));
+    std::string bytes(line.substr(0, MaxLineBytes - 1));
     bytes += '\n';
     pollfd wait{descriptor, POLLOUT, 0};
     if (::poll(&wait, 1, 0) != 1 || (wait.revents & POLLOUT) == 0)
@@ -102,9 +102,8 @@
 void start_logging(const std::string& process) {
     process_name = process;
     on_terminal = ::isatty(STDOUT_FILENO) != 0;
-    blog::core::get()->add_sink(
-        boost::make_shared<blog::sinks::synchronous_sink<NonBlockingBackend>>(
-            boost::make_shared<NonBlockingBackend>()));
+    blog::core::get()->add_sink(boost::make_shared<blog::sinks::synchronous_sink<NonBlockingSink>>(
+        boost::make_shared<NonBlockingSink>()));
     set_log_level("info");
 }
 
--- a/src/process/metrics.cpp
+++ b/src/process/metrics.cpp
@@ -20,9 +20,9 @@
 namespace bh = boost::histogram;
 
 // From 10 us to 100 s with ten bins a decade: quantiles are exact to 26 %.
-constexpr unsigned Bins = 70;
-constexpr double Lowest = 1e-5;
-constexpr double Highest = 100;
+constexpr unsigned BinCount = 70;
+constexpr double LowestSeconds = 1e-5;
+constexpr double HighestSeconds = 100;
 
 using Axis = bh::axis::regular<double, bh::axis::transform::log>;
 using Storage = bh::dense_storage<bh::accumulators::thread_safe<std::uint64_t>>;
@@ -46,7 +46,8 @@
 } // namespace
 
 struct LatencyHistogram::Impl {
-    Histogram histogram = bh::make_histogram_with(Storage(), Axis(Bins, Lowest, Highest));
+    Histogram histogram =
+        bh::make_histogram_with(Storage(), Axis(BinCount, LowestSeconds, HighestSeconds));
     std::atomic<double> sum{0};
 
     std::uint64_t at(int bin) const { return histogram.at(bin).load(); }
@@ -62,17 +63,17 @@
 
 double LatencyHistogram::quantile(double q) const {
     std::uint64_t total = 0;
-    for (int bin = -1; bin <= static_cast<int>(Bins); ++bin)
+    for (int bin = -1; bin <= static_cast<int>(BinCount); ++bin)
         total += impl_->at(bin);
     if (total == 0)
         return 0;
     std::uint64_t seen = 0;
-    for (int bin = -1; bin < static_cast<int>(Bins); ++bin) {
+    for (int bin = -1; bin < static_cast<int>(BinCount); ++bin) {
         seen += impl_->at(bin);
         if (static_cast<double>(seen) >= q * static_cast<double>(total))
-            return bin < 0 ? Lowest : impl_->histogram.axis().bin(bin).upper();
+            return bin < 0 ? LowestSeconds : impl_->histogram.axis().bin(bin).upper();
     }
-    return Highest;
+    return HighestSeconds;
 }
 
 void LatencyHistogram::print(const std::string& name, const std::string& labels,
@@ -80,7 +81,7 @@
     constexpr int BinsPerLine = 5; // two lines a decade are enough for a dashboard
     std::uint64_t seen = impl_->at(-1);
     std::ostringstream text;
-    for (int bin = 0; bin < static_cast<int>(Bins); ++bin) {
+    for (int bin = 0; bin < static_cast<int>(BinCount); ++bin) {
         seen += impl_->at(bin);
         if ((bin + 1) % BinsPerLine == 0)
             text << with_labels(name + "_bucket", labels,
@@ -88,7 +89,7 @@
                                     "\"")
                  << " " << seen << "\n";
     }
-    seen += impl_->at(static_cast<int>(Bins));
+    seen += impl_->at(static_cast<int>(BinCount));
     text << with_labels(name + "_bucket", labels, "le=\"+Inf\"") << " " << seen << "\n"
          << with_labels(name + "_sum", labels) << " " << impl_->sum.load() << "\n"
          << with_labels(name + "_count", labels) << " " << seen << "\n";
@@ -157,13 +158,13 @@
         << "# TYPE liftweir_link_queued_bytes gauge\n"
         << "liftweir_link_queued_bytes " << links.queued << "\n"
         << link_bytes_by_kind(links) << "# TYPE process_cpu_seconds_total counter\n"
-        << "process_cpu_seconds_total " << processor_seconds() << "\n"
+        << "process_cpu_seconds_total " << cpu_seconds() << "\n"
         << "# TYPE process_resident_memory_bytes gauge\n"
         << "process_resident_memory_bytes " << resident_bytes() << "\n";
     return out.str();
 }
 
-double processor_seconds() {
+double cpu_seconds() {
     rusage usage{};
     getrusage(RUSAGE_SELF, &usage);
     const auto seconds = [](const timeval& t) {
--- a/src/process/metrics.h
+++ b/src/process/metrics.h
@@ -80,7 +80,7 @@
 };
 
 // CPU time in seconds and resident memory in bytes of this process.
-double processor_seconds();
+double cpu_seconds();
 double resident_bytes();
 
 } // namespace liftweir
--- a/src/process/siteprogram.cpp
+++ b/src/process/siteprogram.cpp
@@ -11,8 +11,8 @@
 
 namespace liftweir {
 
-std::optional<FleetProgram> read_fleet_program(const std::string& name, const char* fallback,
-                                               int argc, const char** argv, int& exit_code) {
+std::optional<SiteProgram> read_fleet_program(const std::string& name, const char* fallback,
+                                              int argc, const char** argv, int& exit_code) {
     const auto line = read_command_line(name, fallback, argc, argv, exit_code);
     if (!line)
         return std::nullopt;
@@ -24,7 +24,7 @@
     }
     if (line->check_only)
         return std::nullopt;
-    return FleetProgram{std::move(*config), line->settings_file};
+    return SiteProgram{std::move(*config), line->settings_file};
 }
 
 void watch_site_config(asio::io_context& io, const std::string& file,
