--- a/tests/unit/endpointstart_test.cpp
+++ b/tests/unit/endpointstart_test.cpp
@@ -40,28 +40,28 @@
     return report;
 }
 
-bool stands(const Registry& registry, const EndpointId& id) {
+bool is_present(const Registry& registry, const EndpointId& id) {
     const Registry::Item* item = registry.find(id);
     return item != nullptr && item->report.phase != EndpointPhase::Gone;
 }
 
 // ---- incarnations under one name
 
-TEST(EndpointStart, ALaterStartIsKnownAtOnceThoughItsCountsBeginAnew) {
+TEST(EndpointStart, ALaterStartReplacesTheEarlierOneThoughItsSequenceRestarts) {
     Registry registry;
     EndpointReport first = report_of(start_of("i-1", 1), 900);
     first.membership = {"small.1", 7, 0, MemberState::Open};
     first.staged = {"small"};
     registry.merge(first, Start);
     EXPECT_TRUE(registry.merge(report_of(start_of("i-1", 2), 1), Start + seconds(3)));
-    EXPECT_TRUE(stands(registry, start_of("i-1", 2)));
-    EXPECT_FALSE(stands(registry, start_of("i-1", 1)));
+    EXPECT_TRUE(is_present(registry, start_of("i-1", 2)));
+    EXPECT_FALSE(is_present(registry, start_of("i-1", 1)));
     EXPECT_FALSE(registry.find(start_of("i-1", 2))->report.grouped());
     EXPECT_EQ(registry.take_resolved(), std::vector<EndpointId>{start_of("i-1", 1)});
     EXPECT_TRUE(registry.replaced(registry.find(start_of("i-1", 1))->report));
 }
 
-TEST(EndpointStart, ALateWordOfTheEarlierStartChangesNothing) {
+TEST(EndpointStart, ALateReportOfAnEarlierStartIsIgnored) {
     for (const EndpointPhase phase :
          {EndpointPhase::Serving, EndpointPhase::Draining, EndpointPhase::Gone}) {
         Registry registry;
@@ -69,68 +69,68 @@
         EndpointReport late = report_of(start_of("i-1", 1), 900);
         late.phase = phase;
         EXPECT_FALSE(registry.merge(late, Start + seconds(1)));
-        EXPECT_TRUE(stands(registry, start_of("i-1", 2)));
-        EXPECT_FALSE(stands(registry, start_of("i-1", 1)));
+        EXPECT_TRUE(is_present(registry, start_of("i-1", 2)));
+        EXPECT_FALSE(is_present(registry, start_of("i-1", 1)));
     }
 }
 
-TEST(EndpointStart, AStartAfterADeregistrationIsAnotherOne) {
+TEST(EndpointStart, AStartAfterADeregistrationIsAdmitted) {
     Registry registry;
     registry.merge(report_of(start_of("i-1", 1), 9), Start);
     registry.mark_gone(start_of("i-1", 1), Start);
     EXPECT_FALSE(registry.merge(report_of(start_of("i-1", 1), 10), Start));
     EXPECT_TRUE(registry.merge(report_of(start_of("i-1", 2), 1), Start));
-    EXPECT_TRUE(stands(registry, start_of("i-1", 2)));
+    EXPECT_TRUE(is_present(registry, start_of("i-1", 2)));
 }
 
 // A deregistration without a process start reaches one host, which forwards it to the others.
-TEST(EndpointStart, ADeregistrationWithoutAStartEndsTheOneThatIsKnown) {
+TEST(EndpointStart, ADeregistrationWithoutAStartEndsTheKnownStart) {
     Registry registry;
     registry.merge(report_of(start_of("i-1", 1), 9), Start);
     EndpointReport gone;
     gone.id = "i-1";
     gone.phase = EndpointPhase::Gone;
     registry.merge(gone, Start + milliseconds(10));
-    EXPECT_FALSE(stands(registry, start_of("i-1", 1)));
+    EXPECT_FALSE(is_present(registry, start_of("i-1", 1)));
     EXPECT_EQ(registry.take_resolved(), std::vector<EndpointId>{start_of("i-1", 1)});
     registry.merge(report_of(start_of("i-1", 2), 1), Start + seconds(2));
     EXPECT_FALSE(registry.merge(gone, Start + milliseconds(10))); // again, in a copy of a range
-    EXPECT_TRUE(stands(registry, start_of("i-1", 2)));
+    EXPECT_TRUE(is_present(registry, start_of("i-1", 2)));
 }
 
 // A host that has just started may receive the deregistration before the report that another host
 // forwards.
-TEST(EndpointStart, WhoEndedBeforeItWasKnownStaysEnded) {
+TEST(EndpointStart, AnEndpointDeregisteredBeforeItsFirstReportStaysGone) {
     Registry registry;
     registry.mark_gone("i-1", Start);
     EXPECT_FALSE(registry.merge(report_of(start_of("i-1", 1), 9), Start - milliseconds(300)));
-    EXPECT_FALSE(stands(registry, start_of("i-1", 1)));
+    EXPECT_FALSE(is_present(registry, start_of("i-1", 1)));
 }
 
-TEST(EndpointStart, AReportWithoutAStartIsNoWordOfOneThatToldIts) {
+TEST(EndpointStart, AReportWithoutAStartChangesNoEndpointThatHasOne) {
     Registry registry;
     registry.merge(report_of(start_of("i-1", 1), 9), Start);
     EndpointReport other = report_of("i-1", 1000);
     other.phase = EndpointPhase::Draining;
     EXPECT_FALSE(registry.merge(other, Start + seconds(1)));
-    EXPECT_TRUE(stands(registry, start_of("i-1", 1)));
+    EXPECT_TRUE(is_present(registry, start_of("i-1", 1)));
     EXPECT_EQ(registry.find(start_of("i-1", 1))->report.phase, EndpointPhase::Serving);
 }
 
-TEST(EndpointStart, ALaterStartElsewhereEndsTheEarlierOneToo) {
+TEST(EndpointStart, ALaterStartAtAnotherAddressEndsTheEarlierOne) {
     Registry registry;
     registry.merge(report_of(start_of("i-1", 1), 9), Start);
     EndpointReport moved = report_of(start_of("i-1", 2), 1);
     moved.address = "10.0.0.2:80";
     EXPECT_TRUE(registry.merge(moved, Start));
-    EXPECT_FALSE(stands(registry, start_of("i-1", 1)));
+    EXPECT_FALSE(is_present(registry, start_of("i-1", 1)));
 }
 
 // Several incarnations under two names, whose reports reach the hosts in any order, some twice. The
 // hosts exchange their registries in any order.
-class StartsInARow {
+class RepeatedStarts {
   public:
-    void tell(const std::string& name, std::uint64_t start, Time now) {
+    void send_report(const std::string& name, std::uint64_t start, Time now) {
         const auto at = *rc::gen::inRange<std::size_t>(0, Hosts);
         const EndpointId id = start_of(name, start);
         EndpointReport report = report_of(id, ++sequences_[id]);
@@ -173,13 +173,13 @@
 };
 
 RC_GTEST_PROP(EndpointStart, HostsAgreeOnTheLatestStartInAnyOrderOfArrival, ()) {
-    StartsInARow starts;
+    RepeatedStarts starts;
     Time now = Start;
-    const int words = *rc::gen::inRange(1, 24);
-    for (int n = 0; n < words; ++n) {
+    const int report_count = *rc::gen::inRange(1, 24);
+    for (int n = 0; n < report_count; ++n) {
         now += milliseconds(*rc::gen::inRange(0, 1500));
-        starts.tell(*rc::gen::element<std::string>("i-1", "i-2"),
-                    *rc::gen::inRange<std::uint64_t>(1, 5), now);
+        starts.send_report(*rc::gen::element<std::string>("i-1", "i-2"),
+                           *rc::gen::inRange<std::uint64_t>(1, 5), now);
         if (*rc::gen::inRange(0, 4) == 0)
             starts.exchange(now);
     }
@@ -188,13 +188,13 @@
     starts.check_all_agree();
 }
 
-TEST(EndpointStart, ARememberedStartMakesRoomForALaterOne) {
+TEST(EndpointStart, ALaterStartReplacesACachedOne) {
     Registry registry;
     registry.remember(report_of(start_of("i-1", 1), 9), Start);
     EXPECT_TRUE(registry.merge(report_of(start_of("i-1", 2), 1), Start));
     EXPECT_FALSE(registry.remember(report_of(start_of("i-1", 1), 9), Start));
-    EXPECT_TRUE(stands(registry, start_of("i-1", 2)));
-    EXPECT_FALSE(stands(registry, start_of("i-1", 1)));
+    EXPECT_TRUE(is_present(registry, start_of("i-1", 2)));
+    EXPECT_FALSE(is_present(registry, start_of("i-1", 1)));
     // Every id that is returned as resolved must still be in the registry. A cached one was once
     // returned after it had been removed.
     for (const EndpointId& id : registry.take_resolved())
@@ -203,7 +203,7 @@
 
 // ---- reports that no endpoint can have sent
 
-Json::Value proper() {
+Json::Value valid_body() {
     return *platform::parse_object(
         R"({"service":"llm","address":"10.0.0.9:80","zone":"z","version":"v1","slots":48,
         "state":"ready","cold-remaining-ms":0,"sequence":4,"born":1700000000000,"domain":"d0",
@@ -215,16 +215,16 @@
     return platform::read_registration("i-1", to_text(body));
 }
 
-TEST(ForeignReport, AProperOneIsReadWhole) {
-    const auto report = read(proper());
+TEST(ForeignReport, AValidReportIsReadWhole) {
+    const auto report = read(valid_body());
     ASSERT_TRUE(report);
     EXPECT_EQ(report->id, EndpointId("i-1", 1700000000000));
     EXPECT_TRUE(report->leads_open_group());
     EXPECT_EQ(report->sequence, 4u);
 }
 
-TEST(ForeignReport, IsRefusedWithWhatIsWrong) {
-    const std::vector<std::tuple<const char*, Json::Value, ReportFault>> strange = {
+TEST(ForeignReport, IsRejectedWithItsFault) {
+    const std::vector<std::tuple<const char*, Json::Value, ReportFault>> invalid = {
         {"state", "asleep", ReportFault::Phase},
         {"state", 1, ReportFault::Phase},
         {"slots", "many", ReportFault::Slots},
@@ -245,19 +245,19 @@
         {"staged", "m", ReportFault::Group},
         {"cold-remaining-ms", "none", ReportFault::Group},
     };
-    for (const auto& [field, value, fault] : strange) {
-        Json::Value body = proper();
+    for (const auto& [field, value, fault] : invalid) {
+        Json::Value body = valid_body();
         body[field] = value;
         const auto report = read(body);
         ASSERT_FALSE(report) << field << " " << value;
         EXPECT_EQ(report.error(), fault) << field << " " << value;
     }
     EXPECT_EQ(platform::read_registration("i-1", "{\"ser").error(), ReportFault::Unreadable);
-    EXPECT_EQ(platform::read_registration("", to_text(proper())).error(), ReportFault::Name);
+    EXPECT_EQ(platform::read_registration("", to_text(valid_body())).error(), ReportFault::Name);
 }
 
-RC_GTEST_PROP(ForeignReport, WithoutAnyFieldOfAWorkersIsRefused, ()) {
-    Json::Value body = proper();
+RC_GTEST_PROP(ForeignReport, IsRejectedWithoutARequiredField, ()) {
+    Json::Value body = valid_body();
     body.removeMember(*rc::gen::element<std::string>("service", "address", "zone", "version",
                                                      "slots", "state", "cold-remaining-ms",
                                                      "sequence"));
@@ -281,10 +281,10 @@
     }
 }
 
-RC_GTEST_PROP(ForeignReport, IsTakenOnlyInAWorkersForm, ()) {
+RC_GTEST_PROP(ForeignReport, IsAcceptedOnlyInTheFormThatEndpointsSend, ()) {
     Registry registry;
-    registry.merge(*read(proper()), Start);
-    Json::Value body = proper();
+    registry.merge(*read(valid_body()), Start);
+    Json::Value body = valid_body();
     const auto names = body.getMemberNames();
     for (int n = *rc::gen::inRange(1, 3); n > 0; --n)
         body[*rc::gen::elementOf(names)] = any_value();
@@ -297,11 +297,11 @@
     } else {
         RC_ASSERT(report.error() != ReportFault::None);
     }
-    RC_ASSERT(stands(registry, EndpointId("i-1", 1700000000000)));
+    RC_ASSERT(is_present(registry, EndpointId("i-1", 1700000000000)));
 }
 
-RC_GTEST_PROP(ForeignReport, NoProperOneIsLost, ()) {
-    Json::Value body = proper();
+RC_GTEST_PROP(ForeignReport, EveryValidReportIsAccepted, ()) {
+    Json::Value body = valid_body();
     body["slots"] = *rc::gen::inRange(0, 1000);
     body["sequence"] = *rc::gen::inRange(0, 1 << 30);
     body["state"] = *rc::gen::element<std::string>("ready", "draining");
@@ -317,14 +317,14 @@
 }
 
 // Another control host, or the file from before a restart, may hold invalid reports.
-TEST(ForeignReport, IsTakenOverFromNobody) {
-    std::vector<EndpointReport> strange(5, report_of("i-2", 1));
-    strange[0].service.clear();
-    strange[1].address = "nowhere";
-    strange[2].phase = static_cast<EndpointPhase>(9);
-    strange[3].membership = {"m.1", 7, 0, static_cast<MemberState>(77)};
-    strange[4].id.name.clear();
-    for (const EndpointReport& report : strange) {
+TEST(ForeignReport, IsRejectedFromPeersAndFromDisk) {
+    std::vector<EndpointReport> invalid(5, report_of("i-2", 1));
+    invalid[0].service.clear();
+    invalid[1].address = "nowhere";
+    invalid[2].phase = static_cast<EndpointPhase>(9);
+    invalid[3].membership = {"m.1", 7, 0, static_cast<MemberState>(77)};
+    invalid[4].id.name.clear();
+    for (const EndpointReport& report : invalid) {
         Registry registry;
         registry.merge(report_of("i-1", 1), Start);
         EXPECT_FALSE(registry.merge(report, Start));
@@ -333,7 +333,7 @@
     }
 }
 
-TEST(ForeignReport, MovesNoEndpoint) {
+TEST(ForeignReport, CanNotMoveAnEndpoint) {
     Registry registry;
     registry.merge(report_of(start_of("i-1", 1), 1), Start);
     EndpointReport other = report_of(start_of("i-1", 1), 2);
--- a/tests/unit/fleet_test.cpp
+++ b/tests/unit/fleet_test.cpp
@@ -29,7 +29,7 @@
 
 // ---- nodes and the replicated log
 
-TEST(Node, AWipedHostIsAnotherNode) {
+TEST(Node, AHostWithAnEmptiedDiskIsAnotherNode) {
     MemStorage disk;
     const auto founder = node_of_folder(disk, "10.1.0.4", true);
     ASSERT_TRUE(founder);
@@ -44,7 +44,7 @@
 }
 
 // After a power loss of all hosts there is no leader, so the first election uses shorter timeouts.
-TEST(Raft, StandsForElectionSoonerUntilALeaderWasHeard) {
+TEST(Raft, StandsForElectionSoonerUntilALeaderIsKnown) {
     RaftTuning tuning;
     tuning.first_election_min = milliseconds(100);
     tuning.first_election_max = milliseconds(200);
@@ -100,7 +100,7 @@
     Raft raft_;
 };
 
-TEST(Raft, AHostThatDoesNotAnswerIsSentLittle) {
+TEST(Raft, LimitsWhatIsInFlightToASilentFollower) {
     // What a link of 40 Mbit/s carries in about half a second.
     constexpr std::size_t MostUnderWay = 2u << 20;
     LongLog leader;
@@ -117,7 +117,7 @@
     EXPECT_LT(sent, MostUnderWay);
 }
 
-TEST(Raft, AHostThatAnswersLateIsSentTheLogOnce) {
+TEST(Raft, ASlowFollowerIsSentTheLogOnce) {
     LongLog leader;
     Raft follower(2, {}, 9, {1}, {}, {}, {}, leader.now());
     std::deque<std::vector<RaftMessage>> answers(2);
@@ -150,7 +150,7 @@
         }));
 }
 
-TEST(Raft, AnswersToOldAppendsBringNoMoreSnapshots) {
+TEST(Raft, RepliesToOldAppendsTriggerNoMoreSnapshots) {
     LongLog leader;
     Raft& raft = leader.raft();
     raft.step(2, AppendReply{raft.term(), false, 0, 0}, leader.now());
@@ -173,7 +173,7 @@
 }
 
 // The pause before a snapshot is sent again doubles each time.
-TEST(Raft, AHostThatNeverAnswersIsSentFewSnapshots) {
+TEST(Raft, ASilentFollowerIsSentFewSnapshots) {
     LongLog leader;
     leader.raft().compact({leader.raft().commit(), leader.raft().term(), {1}, "state"});
     leader.raft().step(2, AppendReply{leader.raft().term(), false, 0, 0}, leader.now());
@@ -185,7 +185,7 @@
 }
 
 // A learner gets all entries but counts for no majority.
-TEST(Raft, LearnersReceiveAndDoNotCount) {
+TEST(Raft, LearnersReceiveTheLogButCountForNoMajority) {
     const Time now = Start + seconds(1);
     Raft raft(1, {}, 7, {1}, {}, {}, {}, now);
     for (Time t = now; t < now + seconds(2) && !raft.leads(); t += milliseconds(10))
@@ -208,7 +208,7 @@
 
 // ---- voters
 
-class KeeperTest : public testing::Test {
+class VoterSelectorTest : public testing::Test {
   protected:
     static NodeId node(int host, NodeId folder = 0) {
         return founder_node("10.0.0." + std::to_string(host)) | folder << 32;
@@ -218,7 +218,7 @@
     VoterSelector voter_selector_{5};
 };
 
-TEST_F(KeeperTest, GrowsOneAtATimeUpToTheTarget) {
+TEST_F(VoterSelectorTest, GrowsOneAtATimeUpToTheTarget) {
     const Voters three{node(1), node(2), node(3)};
     const std::vector<NodeView> all{live(node(2)), live(node(3)), live(node(4)), live(node(5))};
     const auto next = voter_selector_.next(node(1), three, all);
@@ -226,13 +226,13 @@
     EXPECT_EQ(next->size(), 4u);
 }
 
-TEST_F(KeeperTest, TakesNoSpareThatLagsBehind) {
+TEST_F(VoterSelectorTest, AddsNoSpareThatLagsBehind) {
     const Voters three{node(1), node(2), node(3)};
     EXPECT_FALSE(voter_selector_.next(
         node(1), three, {live(node(2)), live(node(3)), {node(4), false, milliseconds(10)}}));
 }
 
-TEST_F(KeeperTest, ReplacesALostVoterByAddingFirst) {
+TEST_F(VoterSelectorTest, ReplacesALostVoterByAddingFirst) {
     const Voters five{node(1), node(2), node(3), node(4), node(5)};
     const std::vector<NodeView> views{live(node(2)), live(node(3)), live(node(4)), silent(node(5)),
                                       live(node(6))};
@@ -246,13 +246,13 @@
     EXPECT_EQ(removed->size(), 5u);
 }
 
-TEST_F(KeeperTest, ReplacesALostVoterByNobodyNever) {
+TEST_F(VoterSelectorTest, KeepsALostVoterWhileThereIsNoSpare) {
     const Voters five{node(1), node(2), node(3), node(4), node(5)};
     EXPECT_FALSE(voter_selector_.next(
         node(1), five, {live(node(2)), live(node(3)), silent(node(4)), silent(node(5))}));
 }
 
-TEST_F(KeeperTest, AWipedVoterIsReplacedByItsSuccessorAtOnce) {
+TEST_F(VoterSelectorTest, AVoterWithAnEmptiedDiskIsReplacedByItsNewNodeAtOnce) {
     const Voters five{node(1), node(2), node(3), node(4), node(5)};
     const NodeId wiped = node(5, 77);
     const std::vector<NodeView> views{live(node(2)),
@@ -265,7 +265,7 @@
     EXPECT_TRUE(added->contains(wiped));
 }
 
-TEST_F(KeeperTest, NeverRemovesItself) {
+TEST_F(VoterSelectorTest, NeverRemovesItself) {
     const Voters six{node(1), node(2), node(3), node(4), node(5), node(6)};
     std::vector<NodeView> views;
     for (int i = 1; i <= 5; ++i)
@@ -304,7 +304,7 @@
 }
 
 // A probe of the address shows which of two incarnations runs there.
-TEST(Registry, ANewIncarnationAtAnAddressEndsTheOneBefore) {
+TEST(Registry, AConfirmedIncarnationEndsTheEarlierOneAtItsAddress) {
     Registry registry;
     registry.merge(report("1", 5), Start);
     EndpointReport other = report("2", 1);
@@ -426,7 +426,7 @@
     EXPECT_EQ(watch.stalled(now + seconds(10)), Duration::zero());
 }
 
-TEST(StallDetector, ARequestThatWaitsToBeReadIsGivenLonger) {
+TEST(StallDetector, ARequestThatWaitsForItsFirstEventGetsLonger) {
     StallDetector watch;
     watch.expect(milliseconds(186), milliseconds(100));
     watch.started(Start);
@@ -436,7 +436,7 @@
 
 // ---- settings file
 
-TEST(SiteConfig, ReadsTextsAsNumbersAndNamesWhatIsWrong) {
+TEST(SiteConfig, ReadsStringsAsNumbersAndNamesTheInvalidKey) {
     const std::string file = testing::TempDir() + "/fleet.json";
     const auto write = [&](const std::string& text) { std::ofstream(file) << text; };
     write(R"({"name":"a","ip":"10.0.0.1","link_port":7340,"seeds":["10.0.0.1:80"],
--- a/tests/unit/gatewaylink_test.cpp
+++ b/tests/unit/gatewaylink_test.cpp
@@ -25,7 +25,7 @@
     HttpHeaders own_answer_headers(const CallerRequest&, Duration) const override { return {}; }
 };
 
-// A control host that answers lease renewals, except on the link in `deaf`.
+// A control host that answers lease renewals, except on `unanswered_link`.
 struct EntryHostsLink : testing::Test {
     EntryHostsLink() {
         listener.start([this](const Link::Ptr& link) { links.push_back(link); },
@@ -46,8 +46,8 @@
     }
 
     void on_renew(const Link::Ptr& link, const LeaseRenewal& renew) {
-        ++questions;
-        if (link == deaf)
+        ++renewals;
+        if (link == unanswered_link)
             return;
         LeaseAck lease_ack;
         lease_ack.node = 1;
@@ -91,15 +91,15 @@
     Gateway gateway{io, config_for(port), callers,
                     [](const std::string&) -> Expected<Deployment> { return Deployment{}; }};
     std::vector<Link::Ptr> links;
-    Link::Ptr deaf;
-    int questions = 0;
+    Link::Ptr unanswered_link;
+    int renewals = 0;
     int answers = 0;
     int ended = 0;
 };
 
-TEST_F(EntryHostsLink, IsDialedAnewWhereNoQuestionIsAnswered) {
+TEST_F(EntryHostsLink, IsReconnectedWhenNoRenewalIsAnswered) {
     ASSERT_TRUE(run_until([&] { return answers >= 2; }, milliseconds(2500)));
-    deaf = links.front();
+    unanswered_link = links.front();
     const int before = answers;
     // A renewal is sent within 1 s, and the link is closed after 2.5 s more without a message.
     EXPECT_TRUE(run_until([&] { return answers > before; }, milliseconds(4000)));
@@ -108,19 +108,19 @@
 
 // Answers may be queued behind a large document on a slow link, so a link that delivers bytes is
 // kept.
-TEST_F(EntryHostsLink, StaysWhileItBringsSomething) {
+TEST_F(EntryHostsLink, StaysUpWhileItDeliversMessages) {
     ASSERT_TRUE(run_until([&] { return answers >= 2; }, milliseconds(2500)));
-    deaf = links.front();
+    unanswered_link = links.front();
     const Time end = BootClock::now() + milliseconds(4500);
     while (BootClock::now() < end) {
         run_until([] { return false; }, milliseconds(300));
-        deaf->send(GroupsDissolved{});
+        unanswered_link->send(GroupsDissolved{});
     }
     EXPECT_EQ(links.size(), 1u);
     EXPECT_EQ(ended, 0);
 }
 
-TEST_F(EntryHostsLink, StaysWhileQuestionsAreAnswered) {
+TEST_F(EntryHostsLink, StaysUpWhileRenewalsAreAnswered) {
     ASSERT_TRUE(run_until([&] { return answers >= 6; }, milliseconds(7000)));
     EXPECT_EQ(links.size(), 1u);
 }
@@ -141,7 +141,7 @@
         }
         NodeId node;
         LinkListener listener;
-        int asked_for_document = 0;
+        int document_requests = 0;
     };
 
     static SiteConfig config_for(std::uint16_t port) {
@@ -151,10 +151,10 @@
         return config;
     }
     void on_renew(Host& host, const Link::Ptr& link, const LeaseRenewal& renew) {
-        host.asked_for_document += renew.want_delta ? 1 : 0;
+        host.document_requests += renew.want_delta ? 1 : 0;
         if (renew.want_delta && source == nullptr)
             source = &host;
-        if (&host == source && held_up)
+        if (&host == source && source_is_silent)
             return;
         LeaseAck lease_ack;
         lease_ack.node = host.node;
@@ -174,7 +174,7 @@
     const Identity self{ProcessRole::Control, "c", 1};
     const ClusterKeys keys = ClusterKeys::none();
     Host* source = nullptr;
-    bool held_up = true;
+    bool source_is_silent = true;
     Host first{*this, "127.0.0.1", 1};
     Host second{*this, "127.0.0.2", 2};
     NoCallers callers;
@@ -182,23 +182,23 @@
                     [](const std::string&) -> Expected<Deployment> { return Deployment{}; }};
 };
 
-TEST_F(TwoControlHosts, WhoHasNotAnsweredYetIsNotTakenForOneThatLacksTheDocument) {
+TEST_F(TwoControlHosts, KeepsASourceThatHasNotAnsweredYet) {
     gateway.start();
     run_for(milliseconds(700));
     ASSERT_NE(source, nullptr);
-    held_up = false;
+    source_is_silent = false;
     run_for(milliseconds(500));
     Host& other = source == &first ? second : first;
-    EXPECT_EQ(other.asked_for_document, 0);
-    EXPECT_GT(source->asked_for_document, 0);
+    EXPECT_EQ(other.document_requests, 0);
+    EXPECT_GT(source->document_requests, 0);
 }
 
 // A source that stops answering is replaced.
-TEST_F(TwoControlHosts, AnotherOneIsAskedWhereTheFirstNeverAnswers) {
+TEST_F(TwoControlHosts, ReplacesASourceThatNeverAnswers) {
     gateway.start();
     run_for(milliseconds(5000));
     Host& other = source == &first ? second : first;
-    EXPECT_GT(other.asked_for_document, 0);
+    EXPECT_GT(other.document_requests, 0);
 }
 
 } // namespace
--- a/tests/unit/metrics_test.cpp
+++ b/tests/unit/metrics_test.cpp
@@ -10,7 +10,7 @@
 namespace liftweir {
 namespace {
 
-TEST(MetricTable, NamesEachMetricOnceAndSaysWhatItTells) {
+TEST(MetricTable, ListsEachMetricOnceWithUnitAndMeaning) {
     std::set<std::string_view> names;
     for (const MetricInfo& info : metric_table()) {
         EXPECT_TRUE(names.insert(info.name).second) << info.name;
@@ -20,7 +20,7 @@
     }
 }
 
-TEST(MetricTable, ItsMeaningIsServedBesideTheFigure) {
+TEST(MetricTable, HelpLinesComeFromTheTable) {
     Metrics::instance().counter("liftweir_resumed").add();
     const std::string text = Metrics::instance().text();
     EXPECT_NE(text.find("# HELP liftweir_resumed Streams that went on at another group.\n"
@@ -29,7 +29,7 @@
 }
 
 // Gauges that outlive the object they read from crash the process at the next read of /metrics.
-TEST(MetricTable, GaugesOfAnObjectEndWithIt) {
+TEST(MetricTable, GaugesAreRemovedWithTheirOwner) {
     Metrics::instance().gauge("liftweir_voters", [] { return 7.0; });
     {
         OwnedGauges gauges;
