--- a/src/process/agent.cpp
+++ b/src/process/agent.cpp
@@ -1,3 +1,6 @@
+// Run by liftweir-agent: start and shutdown, orders of the control hosts, and pings between the
+// members of a group.
+
 #include "process/agent.h"
 
 #include "connection/codec.h"
@@ -13,18 +16,21 @@
 
 namespace {
 
-constexpr Duration TickEvery = std::chrono::milliseconds(25);
-// The loop is never blocked for so long by itself: the process was paused.
-constexpr Duration PauseSuspected = std::chrono::milliseconds(400);
-constexpr Duration ReportEvery = std::chrono::milliseconds(500);
-// A control host that does not answer for this long is not asked any longer.
-constexpr Duration ControlSilence = std::chrono::milliseconds(1200);
-constexpr Duration ResetPause = std::chrono::milliseconds(500);
-// An engine that starts together with its agent is not there for the first ones.
-constexpr int ResetsUntilTold = 5;
-// Tables of entry hosts follow a leaving notice within this time; refusals cover the rest.
-constexpr Duration LeavingGrace = std::chrono::milliseconds(1500);
-constexpr Duration LeavingDeadline = std::chrono::seconds(120);
+constexpr Duration TickInterval = std::chrono::milliseconds(25);
+// The event loop never blocks for this long by itself: a longer gap between two ticks means that
+// the process was paused.
+constexpr Duration ProcessPauseThreshold = std::chrono::milliseconds(400);
+constexpr Duration StatusInterval = std::chrono::milliseconds(500);
+// The agent turns to the next control host when the present one has not answered for this long.
+constexpr Duration ControlTimeout = std::chrono::milliseconds(1200);
+constexpr Duration EndpointRetryPause = std::chrono::milliseconds(500);
+// Failed resets before the agent logs a warning. An engine that starts together with its agent is
+// not reachable for the first ones.
+constexpr int FailedResetsUntilWarning = 5;
+// Entry hosts take this host out of their routing tables within this time after its shutdown
+// notice. Attempts that still arrive later are rejected.
+constexpr Duration ShutdownNoticeTime = std::chrono::milliseconds(1500);
+constexpr Duration DrainDeadline = std::chrono::seconds(120);
 constexpr std::size_t DatagramBytes = 512;
 
 std::unique_ptr<Endpoint> make_endpoint(asio::io_context& io, const ProcessConfig& config) {
@@ -58,8 +64,8 @@
       endpoint_(make_endpoint(io, config)),
       ping_socket_(io),
       ping_buffer_(DatagramBytes, '\0'),
-      ticker_(io, TickEvery, [this] { tick(); }),
-      queue_(DefaultSlots, DefaultQueue) {
+      ticker_(io, TickInterval, [this] { tick(); }),
+      queue_(DefaultSlots, DefaultQueueLength) {
     Timeline::instance().name(config.name, identity_.incarnation);
 }
 
@@ -90,8 +96,8 @@
         control_.push_back(std::make_unique<Dialer>(io_, address, identity_, keys_));
         control_.back()->start(
             [this, index](const Link::Ptr&) {
-                if (index == current_)
-                    report_due_ = {};
+                if (index == current_control_)
+                    status_due_ = {};
             },
             [this, index](const Link::Ptr&, WireMessage&& m) { on_control(index, std::move(m)); },
             [](const Link::Ptr&) {});
@@ -99,23 +105,23 @@
     Metrics::instance().gauge("liftweir_in_flight",
                               [this] { return static_cast<double>(in_flight()); });
     record({.kind = EventKind::ProcessStarted, .host = config_.name, .detail = "agent"});
-    last_tick_ = heard_ = BootClock::now();
+    last_tick_ = last_order_at_ = BootClock::now();
     receive_datagram();
     ticker_.start();
     reset_endpoint();
 }
 
-// Until the engine is empty the host is not reported to control, so nobody but this process can
-// say why it is missing.
+// The host reports to control only once its engine is empty. Until then only this log shows why the
+// host is missing.
 void Agent::reset_endpoint() {
     endpoint_->reset([this](bool ok) {
         endpoint_reset_ = ok;
         if (ok)
             return;
-        if (++failed_resets_ == ResetsUntilTold)
+        if (++failed_resets_ == FailedResetsUntilWarning)
             log(LogLevel::Warning, "the engine can not be emptied; the host is not registered",
                 {{"engine", config_.engine_url}});
-        const auto timer = std::make_shared<asio::steady_timer>(io_, ResetPause);
+        const auto timer = std::make_shared<asio::steady_timer>(io_, EndpointRetryPause);
         timer->async_wait([this, timer](asio::error_code error) {
             if (!error)
                 reset_endpoint();
@@ -129,23 +135,23 @@
     if (gate_)
         for (const DuePing& due : gate_->due_pings(now))
             send_datagram(due.address, due.ping);
-    watch_endpoint(now);
+    probe_endpoint_if_due(now);
     check_gate(now);
-    start_waiting();
-    if (now >= report_due_)
-        report();
+    start_queued();
+    if (now >= status_due_)
+        send_status();
     maybe_stop();
 }
 
-// After a pause everything that rested on time is void. The gate sees that by itself, since the
-// boot clock went on; what has to go at once is the work that the pause outlived.
+// After a pause all time limits may have passed. The gate notices that by itself, since the boot
+// clock runs on during the pause. Here the pause is logged and the next report is sent at once.
 void Agent::check_pause(Time now) {
     const Duration gap = now - std::exchange(last_tick_, now);
-    if (gap < PauseSuspected)
+    if (gap < ProcessPauseThreshold)
         return;
     log(LogLevel::Warning, "the process was paused",
         {{"milliseconds", std::to_string(to_millis(gap))}});
-    report_due_ = {};
+    status_due_ = {};
 }
 
 void Agent::check_gate(Time now) {
@@ -165,26 +171,26 @@
         record({.kind = EventKind::GateClosed,
                 .host = config_.name,
                 .group = gate_ ? gate_->assignment().epoch : fence_,
-                .cause = missing.empty() ? "released" : "no echo from " + missing});
-        break_all(FailureKind::EndpointFailed);
+                .cause = missing.empty() ? "released" : "no ping reply from " + missing});
+        fail_all(FailureKind::EndpointFailed);
     }
-    tell_gate();
-    report_due_ = {};
+    send_gate_state();
+    status_due_ = {};
 }
 
 void Agent::leave() {
     if (std::exchange(leaving_, true)) {
         record({.kind = EventKind::ProcessStopped,
                 .host = config_.name,
-                .detail = std::to_string(in_flight()) + " in flight were cut",
+                .detail = std::to_string(in_flight()) + " in flight were aborted",
                 .cause = "second signal"});
         io_.stop();
         return;
     }
     record({.kind = EventKind::ProcessDraining, .host = config_.name});
     leaving_since_ = BootClock::now();
-    tell_gate();
-    report_due_ = {};
+    send_gate_state();
+    status_due_ = {};
 }
 
 void Agent::maybe_stop() {
@@ -194,18 +200,18 @@
     const bool idle = in_flight() == 0 && (!gate_ || phase_ == AgentPhase::Idle);
     if (!idle)
         drained_since_ = now;
-    const bool late = now - leaving_since_ > LeavingDeadline;
-    const bool settled =
-        idle && now - leaving_since_ > LeavingGrace && now - drained_since_ > LeavingGrace / 3;
+    const bool late = now - leaving_since_ > DrainDeadline;
+    const bool settled = idle && now - leaving_since_ > ShutdownNoticeTime &&
+                         now - drained_since_ > ShutdownNoticeTime / 3;
     if (!late && !settled)
         return;
     record({.kind = EventKind::ProcessStopped,
             .host = config_.name,
-            .detail = late ? std::to_string(in_flight()) + " in flight were cut" : "drained"});
+            .detail = late ? std::to_string(in_flight()) + " in flight were aborted" : "drained"});
     io_.stop();
 }
 
-// ---- control
+// ---- control hosts
 
 AgentStatus Agent::status() const {
     AgentStatus s;
@@ -225,35 +231,35 @@
     return s;
 }
 
-void Agent::report() {
+void Agent::send_status() {
     const Time now = BootClock::now();
-    report_due_ = now + ReportEvery;
+    status_due_ = now + StatusInterval;
     if (!endpoint_reset_ || control_.empty())
         return;
-    if (now - heard_ > ControlSilence) {
-        current_ = (current_ + 1) % control_.size();
-        heard_ = now;
+    if (now - last_order_at_ > ControlTimeout) {
+        current_control_ = (current_control_ + 1) % control_.size();
+        last_order_at_ = now;
     }
-    control_[current_]->send(status());
+    control_[current_control_]->send(status());
 }
 
 void Agent::on_control(std::size_t index, WireMessage&& message) {
-    if (const auto* elsewhere = std::get_if<NotLeaderReply>(&message)) {
+    if (const auto* not_leader = std::get_if<NotLeaderReply>(&message)) {
         const auto leader =
-            std::find(control_nodes_.begin(), control_nodes_.end(), elsewhere->leader);
-        if (index != current_ || leader == control_nodes_.end())
+            std::find(control_nodes_.begin(), control_nodes_.end(), not_leader->leader);
+        if (index != current_control_ || leader == control_nodes_.end())
             return;
         const auto next = static_cast<std::size_t>(leader - control_nodes_.begin());
-        if (next != current_)
-            report_due_ = {};
-        current_ = next;
+        if (next != current_control_)
+            status_due_ = {};
+        current_control_ = next;
     } else if (const auto* order = std::get_if<AgentOrder>(&message)) {
-        // An order of a deposed leader that did not yet notice is older than what was obeyed.
+        // A lower term comes from a deposed leader that has not noticed yet.
         if (order->term < term_)
             return;
         term_ = order->term;
-        heard_ = BootClock::now();
-        current_ = index;
+        last_order_at_ = BootClock::now();
+        current_control_ = index;
         on_order(*order);
     }
 }
@@ -261,21 +267,21 @@
 void Agent::on_order(const AgentOrder& order) {
     registered_ = order.registered;
     if (!order.registered) {
-        report_due_ = std::min(report_due_, BootClock::now() + ReportEvery / 5);
+        status_due_ = std::min(status_due_, BootClock::now() + StatusInterval / 5);
         return;
     }
     if (order.has_assignment) {
-        hold(order.assignment);
+        accept_assignment(order.assignment);
     } else if (order.fence != NoEpoch && (order.fence > fence_ || gate_)) {
         drop_group(order.fence, "released by control");
     }
 }
 
-// An epoch that was released, or one below it, is never taken again: an order for it was delayed.
-void Agent::hold(const Assignment& assignment) {
+// A released epoch, or a lower one, is never held again: an order for it was delayed.
+void Agent::accept_assignment(const Assignment& assignment) {
     if (assignment.epoch <= fence_ || phase_ == AgentPhase::Releasing || endpoint_gone_)
         return;
-    // Meant for a process that ran here before: this incarnation was never part of the group.
+    // An assignment without this incarnation is meant for an earlier process of this host.
     const auto own = [this](const Member& member) {
         return member.host == config_.name && member.incarnation == identity_.incarnation;
     };
@@ -287,8 +293,8 @@
         if (assignment.draining && !gate_->assignment().draining) {
             gate_->set_draining(true);
             phase_ = AgentPhase::Draining;
-            tell_gate();
-            report_due_ = {};
+            send_gate_state();
+            status_due_ = {};
         }
         return;
     }
@@ -314,11 +320,11 @@
             gate_->set_engine_ready(true);
             phase_ = gate_->assignment().draining ? AgentPhase::Draining : AgentPhase::Ready;
             record({.kind = EventKind::LoadFinished, .host = config_.name, .group = epoch});
-            report_due_ = {};
+            status_due_ = {};
             return;
         }
         record({.kind = EventKind::LoadFailed, .host = config_.name, .group = epoch});
-        const auto timer = std::make_shared<asio::steady_timer>(io_, ResetPause);
+        const auto timer = std::make_shared<asio::steady_timer>(io_, EndpointRetryPause);
         timer->async_wait([this, timer, epoch, current](asio::error_code error) {
             if (!error && current())
                 load(epoch);
@@ -326,28 +332,28 @@
     });
 }
 
-// From here on no ping of this group is echoed and nothing is forwarded for it.
+// From here on the agent answers no ping of this group and forwards no attempt for it.
 void Agent::drop_group(Epoch fence, const std::string& cause) {
     const Epoch held = gate_ ? gate_->assignment().epoch : NoEpoch;
     fence_ = std::max(fence_, fence);
     if (held == NoEpoch) {
-        report_due_ = {};
+        status_due_ = {};
         return;
     }
     gate_.reset();
     phase_ = AgentPhase::Releasing;
     check_gate(BootClock::now());
-    break_all(FailureKind::EndpointFailed);
+    fail_all(FailureKind::EndpointFailed);
     record({.kind = EventKind::HostReleased, .host = config_.name, .group = held, .cause = cause});
     endpoint_->release(held, [this](bool) {
         if (phase_ == AgentPhase::Releasing)
             phase_ = AgentPhase::Idle;
-        report_due_ = {};
+        status_due_ = {};
     });
-    report_due_ = {};
+    status_due_ = {};
 }
 
-// ---- members
+// ---- pings between the members of a group
 
 void Agent::send_datagram(const std::string& address, const Datagram& datagram) {
     const auto to = parse_address(address);
--- a/src/process/agent.h
+++ b/src/process/agent.h
@@ -1,3 +1,7 @@
+// Run by liftweir-agent: the admission check in front of one endpoint. The agent holds at most one
+// serving group, forwards attempts of entry hosts to its endpoint and watches the endpoint's
+// process.
+
 #ifndef AGENT_H_INCLUDED
 #define AGENT_H_INCLUDED
 
@@ -20,19 +24,20 @@
 
 namespace liftweir {
 
-// The agent program: the gate before one endpoint. Holds at most one group, obeys only the
-// leading control host, and tells "not run" only of work that its endpoint never saw.
+// Obeys only the leading control host. Reports an attempt as "not run" only where the endpoint
+// never received it.
 class Agent {
   public:
     Agent(asio::io_context& io, const ProcessConfig& config);
     ~Agent();
 
     void start();
-    // First call: takes no new work, finishes what runs, then stops the loop. Second: cuts.
+    // The first call admits no new attempts, finishes the running ones and then stops the event
+    // loop. The second call stops it at once.
     void leave();
 
   private:
-    struct Work {
+    struct AttemptState {
         Attempt attempt;
         Link::Ptr link;
         Time deadline{};
@@ -42,17 +47,18 @@
         std::unique_ptr<Relay> relay;
     };
 
-    // A started attempt that its endpoint broke off; what is told of it waits for a probe.
-    struct Failed {
+    // A started attempt that failed at the endpoint. The entry host is notified after a probe has
+    // shown whether the endpoint's process is still there.
+    struct FailedAttempt {
         AttemptId id;
         Link::Ptr link;
         Time started{};
         FailureKind kind = FailureKind::EndpointFailed;
-        bool probed = false; // the probe under way was sent after the failure
+        bool probed = false; // the probe in flight was sent after the failure
     };
 
     static constexpr std::size_t DefaultSlots = 32;
-    static constexpr std::size_t DefaultQueue = 256;
+    static constexpr std::size_t DefaultQueueLength = 256;
 
     void reset_endpoint();
     void tick();
@@ -60,25 +66,25 @@
     void check_gate(Time now);
     void maybe_stop();
 
-    // control
-    void report();
+    // control hosts
+    void send_status();
     void on_control(std::size_t index, WireMessage&& message);
     void on_order(const AgentOrder& order);
-    void hold(const Assignment& assignment);
+    void accept_assignment(const Assignment& assignment);
     void load(Epoch epoch);
     void drop_group(Epoch fence, const std::string& cause);
     AgentStatus status() const;
 
     // the endpoint's process
-    void watch_endpoint(Time now);
+    void probe_endpoint_if_due(Time now);
     void probe_endpoint();
     void on_probed(Epoch epoch, EndpointHealth health);
-    void settle_failed(bool all);
+    void report_failed(bool all);
     void endpoint_ended();
     void await_endpoint();
     void on_endpoint_back();
 
-    // members
+    // pings between the members of a group
     void receive_datagram();
     void send_datagram(const std::string& address, const Datagram& datagram);
 
@@ -91,16 +97,16 @@
                 Duration retry_after);
     void on_cancel(const AttemptId& id);
     void on_credit(const Credit& credit);
-    void start_waiting();
-    void start(Work& work);
-    void pass_on(Work& work);
+    void start_queued();
+    void start(AttemptState& work);
+    void send_chunks(AttemptState& work);
     void on_done(const AttemptId& id, const Expected<int>& result, bool started);
-    void break_all(FailureKind reason);
-    void remember(const AttemptId& id);
-    void tell_gate();
+    void fail_all(FailureKind reason);
+    void mark_seen(const AttemptId& id);
+    void send_gate_state();
     GateState gate_state() const;
     bool admits() const;
-    std::size_t in_flight() const { return work_.size() + failed_.size(); }
+    std::size_t in_flight() const { return attempts_.size() + failed_attempts_.size(); }
 
     asio::io_context& io_;
     ProcessConfig config_;
@@ -109,9 +115,9 @@
     std::unique_ptr<Endpoint> endpoint_;
     std::vector<std::unique_ptr<Dialer>> control_;
     std::vector<NodeId> control_nodes_;
-    std::size_t current_ = 0; // control host that is believed to lead
-    Time heard_{};            // last answer of a leading control host
-    Time report_due_{};
+    std::size_t current_control_ = 0; // index of the control host that is believed to lead
+    Time last_order_at_{};            // time of the last order from a leading control host
+    Time status_due_{};
     Term term_ = 0;
     bool registered_ = false;
     bool endpoint_reset_ = false;
@@ -133,16 +139,16 @@
     Time leaving_since_{};
     Time drained_since_{};
 
-    std::vector<Failed> failed_;
+    std::vector<FailedAttempt> failed_attempts_;
     bool probing_ = false;
-    bool endpoint_gone_ = false; // its process ended and does not answer yet
+    bool endpoint_gone_ = false; // the endpoint's process ended and does not answer yet
     Time probe_due_{};
 
     FairQueue queue_;
-    std::map<AttemptId, std::unique_ptr<Work>> work_;
-    // Attempts that were seen or cancelled: a late copy of one of them must not start.
-    std::set<AttemptId> seen_;
-    std::deque<AttemptId> seen_order_;
+    std::map<AttemptId, std::unique_ptr<AttemptState>> attempts_;
+    // Ids of received and cancelled attempts: a delayed copy of one of them must not start.
+    std::set<AttemptId> seen_attempts_;
+    std::deque<AttemptId> seen_attempts_order_;
 };
 
 } // namespace liftweir
--- a/src/process/control.cpp
+++ b/src/process/control.cpp
@@ -1,3 +1,5 @@
+// Run by liftweir-control: timers, messages of agents and entry hosts, and what is sent to them.
+
 #include "process/control.h"
 
 #include "connection/codec.h"
@@ -11,12 +13,13 @@
 
 namespace {
 
-constexpr Duration TickEvery = std::chrono::milliseconds(20);
-constexpr Duration PlanEvery = std::chrono::milliseconds(100);
-constexpr Duration ExpireEvery = std::chrono::seconds(60);
-// An entry host that no heartbeat came from for so long is retired. Its claims become unknown,
-// which a late answer mends, so the limit only has to be longer than a pause.
-constexpr Duration RetireAfter = std::chrono::seconds(15);
+constexpr Duration TickInterval = std::chrono::milliseconds(20);
+constexpr Duration PlanInterval = std::chrono::milliseconds(100);
+constexpr Duration ClaimExpiryInterval = std::chrono::seconds(60);
+// An entry host is retired when it has sent no lease renewal for this long. The outcome of its
+// claims then counts as unknown until a late answer corrects it, so the limit only has to exceed a
+// pause of the process.
+constexpr Duration RetireEntryAfter = std::chrono::seconds(15);
 constexpr std::int64_t MillisPerHour = 3600 * 1000;
 
 } // namespace
@@ -47,7 +50,7 @@
       keys_(config.cluster_keys),
       storage_(std::move(storage)),
       replica_(std::move(replica)),
-      ticker_(io, TickEvery, [this] { tick(); }) {
+      ticker_(io, TickInterval, [this] { tick(); }) {
     Timeline::instance().name(config.name, identity_.incarnation);
     replica_->on_applied([this](Index index, const Command& command, const ApplyResult& result) {
         on_applied(index, command, result);
@@ -89,16 +92,16 @@
     if (!replica_->ready())
         return;
     if (time >= plan_due_) {
-        plan_due_ = time + PlanEvery;
+        plan_due_ = time + PlanInterval;
         plan();
     }
-    if (time >= expire_due_) {
-        expire_due_ = time + ExpireEvery;
+    if (time >= claim_expiry_due_) {
+        claim_expiry_due_ = time + ClaimExpiryInterval;
         expire_claims();
     }
 }
 
-// Work of one turn of the loop shares one sync: this is the group commit.
+// Group commit: all proposals of one turn of the event loop share one sync to disk.
 void Control::pump_soon() {
     if (std::exchange(pump_posted_, true))
         return;
@@ -111,14 +114,14 @@
 void Control::pump() {
     const auto messages = replica_->pump();
     if (!messages) {
-        // Going on after a failed sync could acknowledge what the disk never kept.
+        // After a failed sync the process might acknowledge entries that never reached the disk.
         log(LogLevel::Error, "storage failed; the process stops",
             {{"failure", std::string(name_of(messages.error().kind))},
              {"detail", messages.error().detail}});
         std::_Exit(3);
     }
     send_raft(*messages);
-    note_leadership();
+    record_leadership_change();
     push_tables();
     push_orders();
 }
@@ -131,12 +134,12 @@
     }
 }
 
-void Control::note_leadership() {
+void Control::record_leadership_change() {
     const bool leads = replica_->raft().leads_with_commit();
-    if (leads == led_)
+    if (leads == was_leader_)
         return;
-    led_ = leads;
-    planned_open_ = 0;
+    was_leader_ = leads;
+    unapplied_commands_ = 0;
     record({.kind = leads ? EventKind::LeaderElected : EventKind::LeaderLost,
             .host = config_.name,
             .detail = "term " + std::to_string(replica_->raft().term())});
@@ -164,17 +167,18 @@
     return placement_cache_;
 }
 
-// The next plan waits until the last one is applied, so that no command is given twice.
+// A new plan waits until all commands of the last one are applied, so that no command is proposed
+// twice.
 void Control::plan() {
-    if (planned_open_ > 0)
+    if (unapplied_commands_ > 0)
         return;
     const auto commands = planner_.plan(replica_->state(), placement_by_site(), now());
     for (Event& event : planner_.take_events())
         record(std::move(event));
-    planned_open_ = commands.size();
+    unapplied_commands_ = commands.size();
     for (const Command& command : commands)
         replica_->propose(command, [this](const Expected<ApplyResult>&) {
-            planned_open_ -= planned_open_ > 0 ? 1 : 0;
+            unapplied_commands_ -= unapplied_commands_ > 0 ? 1 : 0;
         });
     plan_retirements();
     if (!commands.empty())
@@ -185,10 +189,10 @@
     for (const auto& [name, record] : replica_->state().entries()) {
         auto [session, added] = entries_.try_emplace(name);
         if (added)
-            session->second.heard = now();
-        if (now() - session->second.heard < RetireAfter)
+            session->second.last_renewal = now();
+        if (now() - session->second.last_renewal < RetireEntryAfter)
             continue;
-        session->second.heard = now();
+        session->second.last_renewal = now();
         replica_->propose(RetireEntry{name, record.incarnation}, [](const auto&) {});
         pump_soon();
     }
@@ -228,8 +232,8 @@
         done();
         return;
     }
-    constexpr Duration PollEvery = std::chrono::milliseconds(5);
-    auto timer = std::make_shared<asio::steady_timer>(io_, PollEvery);
+    constexpr Duration PollInterval = std::chrono::milliseconds(5);
+    auto timer = std::make_shared<asio::steady_timer>(io_, PollInterval);
     timer->async_wait([this, timer, version, done = std::move(done)](asio::error_code error) {
         if (!error)
             when_in_force(version, done);
@@ -269,13 +273,15 @@
     }
 }
 
-// Whoever is subscribed learns of a change at once; renewals only mend what got lost.
+// Sends changes at once to the entry hosts that asked this control host for them. Renewals only
+// make up for lost messages.
 void Control::push_tables() {
     const State& state = replica_->state();
-    if (state.table_version() == pushed_table_ && state.lease_version() == pushed_lease_)
+    if (state.table_version() == sent_table_version_ &&
+        state.lease_version() == sent_lease_version_)
         return;
-    pushed_table_ = state.table_version();
-    pushed_lease_ = state.lease_version();
+    sent_table_version_ = state.table_version();
+    sent_lease_version_ = state.lease_version();
     for (auto& [name, session] : entries_) {
         if (!session.link || !session.renew.want_delta)
             continue;
@@ -288,9 +294,9 @@
 }
 
 void Control::push_orders() {
-    if (!replica_->ready() || replica_->state().table_version() == ordered_table_)
+    if (!replica_->ready() || replica_->state().table_version() == ordered_table_version_)
         return;
-    ordered_table_ = replica_->state().table_version();
+    ordered_table_version_ = replica_->state().table_version();
     for (auto& [name, session] : agents_) {
         const auto host = replica_->state().hosts().find(name);
         if (host == replica_->state().hosts().end() || !session.link)
@@ -299,7 +305,7 @@
         const bool releases = order.fence > session.status.fence || session.status.held != NoEpoch;
         if (!order.has_assignment && (order.fence == NoEpoch || !releases))
             continue;
-        // Told once; the next status tells whether it was heard.
+        // Sent once: the agent's next status shows whether the order arrived.
         session.status.held = order.has_assignment ? order.assignment.epoch : NoEpoch;
         session.status.fence = std::max(session.status.fence, order.fence);
         session.status.phase = order.has_assignment && order.assignment.draining
@@ -367,7 +373,7 @@
             });
 }
 
-// What the agent should hold, said only where it differs from what it says it holds.
+// The order names the group that the agent should hold, but only where the agent's status differs.
 AgentOrder Control::order_for(const Host& host, const AgentStatus& status) const {
     const State& state = replica_->state();
     AgentOrder order;
@@ -416,14 +422,15 @@
     return lease_ack;
 }
 
-// Every control host vouches, leading or not: an entry host needs a majority, not a leader.
+// Every control host acknowledges renewals, whether it leads or not: an entry host needs a
+// majority, not a leader.
 void Control::on_renew(const Link::Ptr& link, const LeaseRenewal& renew) {
     if (link->peer().role != ProcessRole::Entry || link->peer().name != renew.entry)
         return;
     EntrySession& session = entries_[renew.entry];
     session.link = link;
     session.renew = renew;
-    session.heard = now();
+    session.last_renewal = now();
     in_force_.acknowledged(renew.entry, renew.lease);
     link->send(make_lease_ack(renew));
     if (renew.want_delta) {
@@ -432,7 +439,8 @@
     }
 }
 
-// Entry hosts may claim and register; everything else is the operators' or the planner's.
+// Entry hosts may only claim idempotency keys and register themselves. All other commands come from
+// operators and the planner.
 void Control::on_command(const Link::Ptr& link, const CommandRequest& request) {
     const auto command = decode<Command>(request.command);
     CommandReply reply;
--- a/src/process/entry.cpp
+++ b/src/process/entry.cpp
@@ -1,3 +1,5 @@
+// Run by liftweir-entry: lease renewals, commands to the control hosts, and the shutdown.
+
 #include "process/entry.h"
 
 #include "connection/codec.h"
@@ -13,16 +15,16 @@
 
 namespace {
 
-constexpr Duration TickEvery = std::chrono::milliseconds(25);
-// Three questions fit into one lease, so that one lost answer does not end it.
-constexpr Duration RenewEvery = std::chrono::milliseconds(320);
-constexpr Duration ResendEvery = std::chrono::milliseconds(300);
-// What must be told to control is repeated for so long; later the retirement of this entry host
-// or the claims' window settles it.
-constexpr Duration ResendFor = std::chrono::minutes(10);
-// The balancer sees "not ready" within this time and sends no more.
-constexpr Duration LeavingGrace = std::chrono::seconds(2);
-constexpr Duration LeavingDeadline = std::chrono::seconds(120);
+constexpr Duration TickInterval = std::chrono::milliseconds(25);
+// Three renewals fit into one lease, so that one lost answer does not end it.
+constexpr Duration RenewalInterval = std::chrono::milliseconds(320);
+constexpr Duration ResendInterval = std::chrono::milliseconds(300);
+// A command without a reply is sent again for this long. After that, the retirement of this entry
+// host or the window of the claims decides the outcome.
+constexpr Duration ResendLimit = std::chrono::minutes(10);
+// Within this time the load balancer reads "not ready" and sends no more requests.
+constexpr Duration ReadinessGrace = std::chrono::seconds(2);
+constexpr Duration DrainDeadline = std::chrono::seconds(120);
 
 Voters voters_of(const ProcessConfig& config) {
     Voters voters;
@@ -38,7 +40,7 @@
       shared_(config),
       builder_(config.site),
       lease_(voters_of(config), shared_.identity.incarnation),
-      ticker_(io, TickEvery, [this] { tick(); }) {
+      ticker_(io, TickInterval, [this] { tick(); }) {
     Timeline::instance().name(config.name, shared_.identity.incarnation);
     shared_.submit = [this](Command command, EntryShared::CommandAnswer answer) {
         asio::post(io_, [this, command = std::move(command), answer = std::move(answer)] {
@@ -93,11 +95,11 @@
     if (now >= renew_due_)
         renew(now);
     resend_pending(now);
-    note_lease(now);
+    record_lease_change(now);
     maybe_stop(now);
 }
 
-Dialer* Entry::control_to_ask() {
+Dialer* Entry::preferred_control() {
     const auto leader = control_.find(leader_);
     if (leader != control_.end() && leader->second->up())
         return leader->second.get();
@@ -107,11 +109,11 @@
     return nullptr;
 }
 
-// Every control host is asked for its word; only one of them for changes, so that a change
-// crosses the link once.
+// The renewal goes to all control hosts, but only one of them is asked for changes, so that each
+// change is sent once.
 void Entry::renew(Time now) {
-    renew_due_ = now + RenewEvery;
-    const Dialer* source = control_to_ask();
+    renew_due_ = now + RenewalInterval;
+    const Dialer* source = preferred_control();
     for (const auto& [node, dialer] : control_) {
         if (!dialer->up())
             continue;
@@ -132,12 +134,12 @@
     if (lease_ack.has_delta && builder_.apply(lease_ack.delta))
         publish();
     lease_.on_lease_ack(lease_ack, builder_.lease_version(), BootClock::now());
-    // The lease is extended only after the tables that it vouches for are published.
+    // The lease is extended only after the tables that it covers are published.
     shared_.lease_until.store(lease_.valid_until().time_since_epoch().count(),
                               std::memory_order_release);
-    note_lease(BootClock::now());
+    record_lease_change(BootClock::now());
     if (lease_.behind())
-        renew_due_ = std::min(renew_due_, BootClock::now() + RenewEvery / 8);
+        renew_due_ = std::min(renew_due_, BootClock::now() + RenewalInterval / 8);
     if (!lease_ack.registered && !std::exchange(registering_, true)) {
         const ProcessConfig& config = shared_.config;
         submit(
@@ -155,11 +157,11 @@
     set_log_level(table->log_level);
     for (const auto& shard : shards_)
         shard->table_changed();
-    // Tell control at once: a change is in force when every entry host has said so.
+    // Renew at once: a change is in force when every entry host has acknowledged it.
     renew_due_ = {};
 }
 
-void Entry::note_lease(Time now) {
+void Entry::record_lease_change(Time now) {
     const bool holds = shared_.lease_holds(now);
     if (holds == had_lease_)
         return;
@@ -174,26 +176,26 @@
 void Entry::submit(Command command, EntryShared::CommandAnswer answer) {
     const Time now = BootClock::now();
     const std::uint64_t id = next_id_++;
-    Pending& pending = pending_[id];
+    PendingCommand& pending = pending_[id];
     pending = {std::move(command), std::move(answer), now, {}};
     send_pending(id, pending);
 }
 
-void Entry::send_pending(std::uint64_t id, Pending& pending) {
+void Entry::send_pending(std::uint64_t id, PendingCommand& pending) {
     pending.sent = BootClock::now();
-    if (Dialer* dialer = control_to_ask())
+    if (Dialer* dialer = preferred_control())
         dialer->send(CommandRequest{id, encode(pending.command)});
 }
 
-// Every command of an entry host is idempotent, so it is simply asked again.
+// Every command of an entry host is idempotent, so it can be sent again.
 void Entry::resend_pending(Time now) {
     for (auto it = pending_.begin(); it != pending_.end();) {
-        Pending& pending = it->second;
-        if (now - pending.first_sent > ResendFor) {
+        PendingCommand& pending = it->second;
+        if (now - pending.first_sent > ResendLimit) {
             it = pending_.erase(it);
             continue;
         }
-        if (now - pending.sent > ResendEvery)
+        if (now - pending.sent > ResendInterval)
             send_pending(it->first, pending);
         ++it;
     }
@@ -205,12 +207,12 @@
         return;
     const bool no_leader = !reply.ok && (reply.failure == FailureKind::NotLeader ||
                                          reply.failure == FailureKind::NoQuorum);
-    // The call's own timer decides how long this is worth waiting for.
+    // The command stays pending; the timer of the call that waits for it limits the wait.
     if (no_leader) {
         leader_ = static_cast<NodeId>(std::atoi(reply.detail.c_str()));
         return;
     }
-    const Pending pending = std::move(found->second);
+    const PendingCommand pending = std::move(found->second);
     pending_.erase(found);
     if (pending.answer)
         pending.answer(reply);
@@ -222,12 +224,13 @@
     if (shared_.leaving.load()) {
         record({.kind = EventKind::ProcessStopped,
                 .host = shared_.config.name,
-                .detail = std::to_string(shared_.calls.load()) + " in flight were cut",
+                .detail = std::to_string(shared_.calls.load()) + " in flight were aborted",
                 .cause = "second signal"});
         io_.stop();
         return;
     }
-    // Readiness goes first; new requests are still served until the balancer has noticed.
+    // Only the readiness probe fails at first: new requests are served until the load balancer has
+    // stopped sending them.
     leaving_since_ = BootClock::now();
     record({.kind = EventKind::ProcessDraining, .host = shared_.config.name});
     shared_.leaving.store(true);
@@ -236,22 +239,22 @@
 void Entry::maybe_stop(Time now) {
     if (leaving_since_ == Time{})
         return;
-    if (now - leaving_since_ > LeavingGrace && std::exchange(accepting_, false)) {
+    if (now - leaving_since_ > ReadinessGrace && std::exchange(accepting_, false)) {
         shared_.draining.store(true);
         for (const auto& shard : shards_)
             shard->drain();
     }
-    const bool late = now - leaving_since_ > LeavingDeadline;
+    const bool late = now - leaving_since_ > DrainDeadline;
     const bool busy = std::any_of(shards_.begin(), shards_.end(),
                                   [](const auto& shard) { return shard->busy(); });
     const bool idle = !accepting_ && !busy && shared_.calls.load() == 0 && pending_.empty() &&
-                      now - leaving_since_ > LeavingGrace + LeavingGrace / 4;
+                      now - leaving_since_ > ReadinessGrace + ReadinessGrace / 4;
     if (!idle && !late)
         return;
     record({.kind = EventKind::ProcessStopped,
             .host = shared_.config.name,
-            .detail =
-                late ? std::to_string(shared_.calls.load()) + " in flight were cut" : "drained"});
+            .detail = late ? std::to_string(shared_.calls.load()) + " in flight were aborted"
+                           : "drained"});
     io_.stop();
 }
 
--- a/src/process/entry.h
+++ b/src/process/entry.h
@@ -1,3 +1,6 @@
+// Run by liftweir-entry: its main thread, which renews the settings lease with the control hosts,
+// sends commands to them and publishes routing tables. The shards serve callers in their threads.
+
 #ifndef ENTRY_H_INCLUDED
 #define ENTRY_H_INCLUDED
 
@@ -13,21 +16,20 @@
 
 namespace liftweir {
 
-// The entry program: one thread that talks to control and publishes tables, and the shards that
-// serve callers.
 class Entry {
   public:
     Entry(asio::io_context& io, const ProcessConfig& config);
     ~Entry();
 
     void start();
-    // First call: not ready, finishes streams, then stops the loop. Second: cuts.
+    // The first call reports "not ready", finishes the streams and then stops the event loop. The
+    // second call stops it at once.
     void leave();
 
   private:
-    struct Pending {
+    struct PendingCommand {
         Command command;
-        EntryShared::CommandAnswer answer; // null: repeated until control has it
+        EntryShared::CommandAnswer answer; // null where nothing waits for the reply
         Time first_sent{};
         Time sent{};
     };
@@ -35,14 +37,14 @@
     void tick();
     void renew(Time now);
     void submit(Command command, EntryShared::CommandAnswer answer);
-    void send_pending(std::uint64_t id, Pending& pending);
+    void send_pending(std::uint64_t id, PendingCommand& pending);
     void resend_pending(Time now);
     void on_lease_ack(const LeaseAck& lease_ack);
     void on_reply(const CommandReply& reply);
     void publish();
-    void note_lease(Time now);
+    void record_lease_change(Time now);
     void maybe_stop(Time now);
-    Dialer* control_to_ask();
+    Dialer* preferred_control();
 
     asio::io_context& io_;
     EntryShared shared_;
@@ -50,7 +52,7 @@
     LeaseHolder lease_;
     std::map<NodeId, std::unique_ptr<Dialer>> control_;
     NodeId leader_ = NoNode;
-    std::map<std::uint64_t, Pending> pending_;
+    std::map<std::uint64_t, PendingCommand> pending_;
     std::uint64_t next_id_ = 1;
     bool registering_ = false;
     bool had_lease_ = false;
--- a/src/process/logging.cpp
+++ b/src/process/logging.cpp
@@ -1,3 +1,5 @@
+// Log output of all programs, by Boost.Log with a sink that never blocks.
+
 #include "process/logging.h"
 
 #include "process/clock.h"
@@ -23,17 +25,18 @@
 namespace blog = boost::log;
 using Severity = blog::trivial::severity_level;
 
-// About ten lines for each request of a busy entry host, and an eighth of a megabyte a second.
+// Enough for about ten lines for each request of a busy entry host; 0.125 MB a second.
 constexpr std::uint32_t LinesPerSecond = 600;
-// A pipe that polls as writable takes this many bytes without waiting (POSIX PIPE_BUF).
-constexpr std::size_t LongestLine = 4096;
+// A pipe that polls as writable takes this many bytes without blocking (POSIX PIPE_BUF).
+constexpr std::size_t MaxLineBytes = 4096;
 
 std::string process_name;
 bool on_terminal = false;
 LogBudget budget(LinesPerSecond);
 
-// Hands finished lines to standard output without ever waiting for its reader.
-class NonBlockingBackend
+// Writes formatted lines to standard output and drops those for which it would block: a reader that
+// has stopped must not stop the process.
+class NonBlockingSink
     : public blog::sinks::basic_formatted_sink_backend<char, blog::sinks::synchronized_feeding> {
   public:
     void consume(const blog::record_view&, const string_type& line) {
@@ -88,7 +91,7 @@
 }
 
 bool try_write_line(int descriptor, std::string_view line) {
-    std::string bytes(line.substr(0, LongestLine - 1));
+    std::string bytes(line.substr(0, MaxLineBytes - 1));
     bytes += '\n';
     pollfd wait{descriptor, POLLOUT, 0};
     if (::poll(&wait, 1, 0) != 1 || (wait.revents & POLLOUT) == 0)
@@ -99,9 +102,8 @@
 void start_logging(const std::string& process) {
     process_name = process;
     on_terminal = ::isatty(STDOUT_FILENO) != 0;
-    blog::core::get()->add_sink(
-        boost::make_shared<blog::sinks::synchronous_sink<NonBlockingBackend>>(
-            boost::make_shared<NonBlockingBackend>()));
+    blog::core::get()->add_sink(boost::make_shared<blog::sinks::synchronous_sink<NonBlockingSink>>(
+        boost::make_shared<NonBlockingSink>()));
     set_log_level("info");
 }
 
--- a/tests/unit/fleet_test.cpp
+++ b/tests/unit/fleet_test.cpp
@@ -1,4 +1,5 @@
-// Membership of control hosts and registrations of endpoints.
+// Control hosts as nodes, learners and voters, registrations of endpoints, budgets, load forecasts
+// and the settings file, as used where endpoints register themselves.
 
 #include "connection/codec.h"
 #include "process/loadbudget.h"
@@ -26,9 +27,9 @@
 
 constexpr Time Start{};
 
-// ---- node numbers
+// ---- nodes and the replicated log
 
-TEST(Node, AWipedHostIsAnotherNode) {
+TEST(Node, AHostWithAnEmptiedDiskIsAnotherNode) {
     MemStorage disk;
     const auto founder = node_of_folder(disk, "10.1.0.4", true);
     ASSERT_TRUE(founder);
@@ -42,8 +43,8 @@
     EXPECT_EQ(address_of(*again, 7340), "10.1.0.4:7340");
 }
 
-// After a loss of power nobody leads: the first election does not wait for a leader that may live.
-TEST(Raft, StandsForElectionSoonerUntilALeaderWasHeard) {
+// After a power loss of all hosts there is no leader, so the first election uses shorter timeouts.
+TEST(Raft, StandsForElectionSoonerUntilALeaderIsKnown) {
     RaftTuning tuning;
     tuning.first_election_min = milliseconds(100);
     tuning.first_election_max = milliseconds(200);
@@ -66,7 +67,7 @@
     EXPECT_FALSE(stands(now + milliseconds(310), milliseconds(380)));
 }
 
-// A leader of its own with 200 entries of 64 KB, as a new host finds it.
+// A leader without other voters, with a log of 200 entries of 64 KB and a new learner.
 class LongLog {
   public:
     static constexpr std::size_t EntryBytes = 64u << 10;
@@ -82,7 +83,7 @@
     }
     Raft& raft() { return raft_; }
     Time now() const { return now_; }
-    // What the leader sends within the next 50 ms.
+    // Advances the time by 50 ms and returns what the leader sends.
     std::vector<RaftEnvelope> step() {
         now_ += milliseconds(50);
         raft_.tick(now_);
@@ -99,13 +100,13 @@
     Raft raft_;
 };
 
-TEST(Raft, AHostThatDoesNotAnswerIsSentLittle) {
-    // As much as a link of 40 Mbit/s carries in half a second.
+TEST(Raft, LimitsWhatIsInFlightToASilentFollower) {
+    // What a link of 40 Mbit/s carries in about half a second.
     constexpr std::size_t MostUnderWay = 2u << 20;
     LongLog leader;
     std::size_t sent = 0;
     for (int n = 0; n < 40; ++n) {
-        // A first answer tells the leader that the host is empty; then nothing more comes.
+        // The first replies show the leader that the host's log is empty. Then it stops replying.
         if (n == 2)
             leader.raft().step(2, AppendReply{leader.raft().term(), false, 0, 0}, leader.now());
         if (n == 3)
@@ -116,7 +117,7 @@
     EXPECT_LT(sent, MostUnderWay);
 }
 
-TEST(Raft, AHostThatAnswersLateIsSentTheLogOnce) {
+TEST(Raft, ASlowFollowerIsSentTheLogOnce) {
     LongLog leader;
     Raft follower(2, {}, 9, {1}, {}, {}, {}, leader.now());
     std::deque<std::vector<RaftMessage>> answers(2);
@@ -149,7 +150,7 @@
         }));
 }
 
-TEST(Raft, AnswersToOldAppendsBringNoMoreSnapshots) {
+TEST(Raft, RepliesToOldAppendsTriggerNoMoreSnapshots) {
     LongLog leader;
     Raft& raft = leader.raft();
     raft.step(2, AppendReply{raft.term(), false, 0, 0}, leader.now());
@@ -165,14 +166,14 @@
         raft.step(2, AppendReply{raft.term(), true, match, 0}, leader.now());
         snapshots += snapshots_in(leader.step());
     }
-    // One more may be due by time.
+    // One more may be sent since the retry interval has passed.
     EXPECT_LE(snapshots, 2u);
     raft.step(2, AppendReply{raft.term(), true, raft.snapshot().index, 0}, leader.now());
     EXPECT_EQ(raft.peer(2)->match, raft.snapshot().index);
 }
 
-// Pauses between copies of a snapshot double.
-TEST(Raft, AHostThatNeverAnswersIsSentFewSnapshots) {
+// The pause before a snapshot is sent again doubles each time.
+TEST(Raft, ASilentFollowerIsSentFewSnapshots) {
     LongLog leader;
     leader.raft().compact({leader.raft().commit(), leader.raft().term(), {1}, "state"});
     leader.raft().step(2, AppendReply{leader.raft().term(), false, 0, 0}, leader.now());
@@ -183,8 +184,8 @@
     EXPECT_LE(snapshots, 10u);
 }
 
-// A learner is kept up to date and counts for nothing.
-TEST(Raft, LearnersReceiveAndDoNotCount) {
+// A learner gets all entries but counts for no majority.
+TEST(Raft, LearnersReceiveTheLogButCountForNoMajority) {
     const Time now = Start + seconds(1);
     Raft raft(1, {}, 7, {1}, {}, {}, {}, now);
     for (Time t = now; t < now + seconds(2) && !raft.leads(); t += milliseconds(10))
@@ -207,7 +208,7 @@
 
 // ---- voters
 
-class KeeperTest : public testing::Test {
+class VoterSelectorTest : public testing::Test {
   protected:
     static NodeId node(int host, NodeId folder = 0) {
         return founder_node("10.0.0." + std::to_string(host)) | folder << 32;
@@ -217,7 +218,7 @@
     VoterSelector voter_selector_{5};
 };
 
-TEST_F(KeeperTest, GrowsOneAtATimeUpToTheTarget) {
+TEST_F(VoterSelectorTest, GrowsOneAtATimeUpToTheTarget) {
     const Voters three{node(1), node(2), node(3)};
     const std::vector<NodeView> all{live(node(2)), live(node(3)), live(node(4)), live(node(5))};
     const auto next = voter_selector_.next(node(1), three, all);
@@ -225,13 +226,13 @@
     EXPECT_EQ(next->size(), 4u);
 }
 
-TEST_F(KeeperTest, TakesNoSpareThatLagsBehind) {
+TEST_F(VoterSelectorTest, AddsNoSpareThatLagsBehind) {
     const Voters three{node(1), node(2), node(3)};
     EXPECT_FALSE(voter_selector_.next(
         node(1), three, {live(node(2)), live(node(3)), {node(4), false, milliseconds(10)}}));
 }
 
-TEST_F(KeeperTest, ReplacesALostVoterByAddingFirst) {
+TEST_F(VoterSelectorTest, ReplacesALostVoterByAddingFirst) {
     const Voters five{node(1), node(2), node(3), node(4), node(5)};
     const std::vector<NodeView> views{live(node(2)), live(node(3)), live(node(4)), silent(node(5)),
                                       live(node(6))};
@@ -245,13 +246,13 @@
     EXPECT_EQ(removed->size(), 5u);
 }
 
-TEST_F(KeeperTest, ReplacesALostVoterByNobodyNever) {
+TEST_F(VoterSelectorTest, KeepsALostVoterWhileThereIsNoSpare) {
     const Voters five{node(1), node(2), node(3), node(4), node(5)};
     EXPECT_FALSE(voter_selector_.next(
         node(1), five, {live(node(2)), live(node(3)), silent(node(4)), silent(node(5))}));
 }
 
-TEST_F(KeeperTest, AWipedVoterIsReplacedByItsSuccessorAtOnce) {
+TEST_F(VoterSelectorTest, AVoterWithAnEmptiedDiskIsReplacedByItsNewNodeAtOnce) {
     const Voters five{node(1), node(2), node(3), node(4), node(5)};
     const NodeId wiped = node(5, 77);
     const std::vector<NodeView> views{live(node(2)),
@@ -264,7 +265,7 @@
     EXPECT_TRUE(added->contains(wiped));
 }
 
-TEST_F(KeeperTest, NeverRemovesItself) {
+TEST_F(VoterSelectorTest, NeverRemovesItself) {
     const Voters six{node(1), node(2), node(3), node(4), node(5), node(6)};
     std::vector<NodeView> views;
     for (int i = 1; i <= 5; ++i)
@@ -302,8 +303,8 @@
     EXPECT_EQ(registry.find("1")->report.phase, EndpointPhase::Gone);
 }
 
-// The address itself says which of two incarnations it is.
-TEST(Registry, ANewIncarnationAtAnAddressEndsTheOneBefore) {
+// A probe of the address shows which of two incarnations runs there.
+TEST(Registry, AConfirmedIncarnationEndsTheEarlierOneAtItsAddress) {
     Registry registry;
     registry.merge(report("1", 5), Start);
     EndpointReport other = report("2", 1);
@@ -321,7 +322,7 @@
     EXPECT_EQ(registry.find("1")->report.phase, EndpointPhase::Gone);
 }
 
-// Reports reach every copy in another order, some twice. All copies end up the same.
+// Reports reach each copy in a different order, some twice. All copies end up equal.
 RC_GTEST_PROP(Registry, CopiesConverge, ()) {
     std::vector<EndpointReport> reports;
     const auto count = *rc::gen::inRange(1, 12);
@@ -425,7 +426,7 @@
     EXPECT_EQ(watch.stalled(now + seconds(10)), Duration::zero());
 }
 
-TEST(StallDetector, ARequestThatWaitsToBeReadIsGivenLonger) {
+TEST(StallDetector, ARequestThatWaitsForItsFirstEventGetsLonger) {
     StallDetector watch;
     watch.expect(milliseconds(186), milliseconds(100));
     watch.started(Start);
@@ -435,7 +436,7 @@
 
 // ---- settings file
 
-TEST(SiteConfig, ReadsTextsAsNumbersAndNamesWhatIsWrong) {
+TEST(SiteConfig, ReadsStringsAsNumbersAndNamesTheInvalidKey) {
     const std::string file = testing::TempDir() + "/fleet.json";
     const auto write = [&](const std::string& text) { std::ofstream(file) << text; };
     write(R"({"name":"a","ip":"10.0.0.1","link_port":7340,"seeds":["10.0.0.1:80"],
