--- a/tests/site/conftest.py
+++ b/tests/site/conftest.py
@@ -1,3 +1,4 @@
+"""Puts the shared test modules on the import path and applies KNOWN-RED.txt."""
 import os
 import sys
 
--- a/tests/site/http1.py
+++ b/tests/site/http1.py
@@ -1,14 +1,14 @@
-"""HTTP/1.1 on asyncio streams, just enough to play endpoints, callers and operators, and to see on
-the socket what they see."""
+"""A minimal HTTP/1.1 client and server on asyncio streams, for stand-ins of endpoints, callers and
+operators. Tests see truncated messages and closed connections as they occur on the socket."""
 import asyncio
 
 
-class Broken(Exception):
-    """The connection ended, or timed out, before the message was whole."""
+class IncompleteResponse(Exception):
+    """The connection closed or timed out before the message was complete."""
 
 
-class Cut(Broken):
-    """The answer had begun, and ended before it was whole."""
+class TruncatedResponse(IncompleteResponse):
+    """The response began and ended before it was complete."""
 
 
 async def read_head(reader):
@@ -39,7 +39,7 @@
 
 
 async def call(address, method, path, headers=None, body=b"", timeout=5.0):
-    """Status, headers and whole body. Raises Broken where the answer is not whole."""
+    """Status, headers and body of the response. Raises IncompleteResponse if it is not complete."""
     host, port = address.rsplit(":", 1)
     writer, begun = None, False
 
@@ -57,7 +57,7 @@
         return await asyncio.wait_for(talk(), timeout)
     except (OSError, EOFError, ValueError, IndexError, asyncio.TimeoutError,
             asyncio.LimitOverrunError) as error:
-        raise (Cut if begun else Broken)(repr(error)) from error
+        raise (TruncatedResponse if begun else IncompleteResponse)(repr(error)) from error
     finally:
         if writer is not None:
             writer.close()
--- a/tests/site/sitefleet.py
+++ b/tests/site/sitefleet.py
@@ -1,6 +1,6 @@
-"""A whole site on loopback: the real programs as processes, stand-ins around them, and what callers
-and operators see. In network S, control hosts are 127.S.1.N, entry hosts 127.S.2.N and workers
-127.S.3.N."""
+"""A whole site on loopback: liftweir-site-control and liftweir-site-entry as processes, stand-ins
+for endpoints, callers and operators, and the checks of what these observe. In network S, control
+hosts are 127.S.1.N, entry hosts 127.S.2.N and endpoints 127.S.3.N."""
 import asyncio
 import json
 import os
@@ -13,18 +13,18 @@
 import time
 
 import http1
-from standin import EVENTS, Fleet, Worker
+from standin import EVENTS, Fleet, Endpoint
 
 LINK, CONTROL, CALLERS, READY, METRICS = 7340, 8229, 8227, 8220, 9464
 REVOKE_S, DRAIN_S = 5.0, 2.0
 
 
-NETS = range(100, 250)  # soaks name theirs, below
-_kept_nets = []         # sockets whose names keep networks for this process, as long as it lives
+NETS = range(100, 250)  # second bytes of 127.S.x.x that tests may use
+_net_locks = []         # open sockets whose names reserve networks until this process exits
 
 
 def is_taken(net):
-    """Whether control hosts of a run that was ended from outside still live there."""
+    """Whether control hosts of an earlier run that was killed still listen in this network."""
     for host in (1, 2, 3):
         with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as probe:
             probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -35,28 +35,28 @@
     return False
 
 
-def own_net():
-    """A network that no other test process of this machine uses: hosts that meet those of another
-    run take them for their own."""
+def reserve_net():
+    """Reserves a network that no other test process of this machine uses. Hosts of two runs in one
+    network would join one site."""
     for net in random.SystemRandom().sample(NETS, len(NETS)):
         if is_taken(net):
             continue
-        keeper = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
+        lock = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
         try:
-            keeper.bind("\0liftweir-site-net-%d" % net)
+            lock.bind("\0liftweir-site-net-%d" % net)
         except OSError:
-            keeper.close()
+            lock.close()
             continue
-        _kept_nets.append(keeper)
+        _net_locks.append(lock)
         return net
-    raise AssertionError("no network is left for tests")
+    raise AssertionError("all test networks of this machine are in use")
 
 
-NET = own_net()  # of this process, for one site after the other
+NET = reserve_net()  # shared by all sites of this process, which run one after the other
 
 
 class Process:
-    """One real program; only this object's own process is ever signalled."""
+    """One real program. Signals go only to the process that this object started."""
 
     def __init__(self, program, config, folder, name):
         self.program, self.config, self.name = program, config, name
@@ -82,24 +82,24 @@
         self.send(signal.SIGKILL)
         self.popen.wait()
 
-    def stop(self, patience=10):
+    def stop(self, timeout_s=10):
         self.send(signal.SIGTERM)
-        return self.popen.wait(patience)
+        return self.popen.wait(timeout_s)
 
 
 class Site:
-    def __init__(self, controls=3, entries=2, workers=(4, 4), plain=2, tolerance=1, seed=1,
+    def __init__(self, controls=3, entries=2, endpoints=(4, 4), plain=2, tolerance=1, seed=1,
                  net=NET, proxy=None, has_start_time=True):
         self.folder = tempfile.mkdtemp(prefix="liftweir-site-")
         build = os.environ.get("LIFTWEIR_BUILD", "build/release")
         self.fleet, self.net = Fleet(seed, net), net
         self.fleet.has_start_time = has_start_time
         self.fleet.controls = ["127.%d.1.%d:%d" % (net, n + 1, CONTROL) for n in range(controls)]
-        self.controls, self.entries, self.workers = [], [], []
+        self.controls, self.entries, self.endpoints = [], [], []
         self.version, self.acked, self.revoked = 0, 0, {}
-        self.more_routes = 0  # beside the ones that are asked for
-        self.cut = []  # requests whose answers had begun and broke off
-        self.once = set()  # requests that may run at most once
+        self.more_routes = 0  # unused routes that make the document larger
+        self.truncated = []  # ids of requests whose responses began and were not completed
+        self.once = set()  # ids of requests that may run at most once
         self.tenant_keys = {"big": ["key-1", "key-2"], "small": ["key-3"]}
         for n in range(controls):
             ip = "127.%d.1.%d" % (net, n + 1)
@@ -114,14 +114,14 @@
                           metrics="%s:%d" % (ip, METRICS))
             self.add(self.entries, os.path.join(build, "liftweir-site-entry"), config, proxy)
         number = 0
-        for domain, count in enumerate(workers):
+        for domain, count in enumerate(endpoints):
             for _ in range(count):
                 number += 1
-                self.workers.append(Worker(self.fleet, number, "llm", "d%d" % domain))
+                self.endpoints.append(Endpoint(self.fleet, number, "llm", "d%d" % domain))
         for _ in range(plain):
             number += 1
-            self.workers.append(Worker(self.fleet, number, "app"))
-        self.next_worker = number + 1
+            self.endpoints.append(Endpoint(self.fleet, number, "app"))
+        self.next_endpoint = number + 1
 
     def settings(self, ip, name, tolerance):
         return {"name": name, "ip": ip, "zone": "z1", "link_port": LINK, "first_start": True,
@@ -141,15 +141,15 @@
     async def start(self):
         for process in self.controls + self.entries:
             process.start()
-        for worker in self.workers:
-            await worker.start()
-        assert await self.put_document(), "the first document was never taken"
+        for endpoint in self.endpoints:
+            await endpoint.start()
+        assert await self.put_document(), "the first document was not accepted in time"
         for process in self.controls + self.entries:
             process.config["first_start"] = False
 
     def close(self):
-        for worker in self.workers:
-            worker.stop()
+        for endpoint in self.endpoints:
+            endpoint.stop()
         for process in self.controls + self.entries:
             if process.running():
                 process.kill()
@@ -178,18 +178,19 @@
                 "limits": {"header-timeout-ms": 1000, "idle-timeout-ms": 15000},
                 "tenants": [{"name": n, "api-keys": k} for n, k in self.tenant_keys.items()]}
 
-    async def put_document(self, patience=15):
-        """Sends the next version until it is acknowledged. True where it was."""
+    async def put_document(self, timeout_s=15):
+        """Sends the next version of the document until it is acknowledged or the timeout expires.
+        Returns whether it was acknowledged."""
         self.version += self.fleet.random.randrange(1, 4)
         version, body = self.version, json.dumps(self.document()).encode()
-        until = time.monotonic() + patience
+        until = time.monotonic() + timeout_s
         while time.monotonic() < until:
             status, _ = await self.control_call("POST", "/Config.Replace", body)
             if status == 200:
                 self.acked = max(self.acked, version)
                 return True
             if status == 400:
-                self.fleet.break_rule("settings", "a valid document was refused")
+                self.fleet.break_rule("settings", "a valid document was rejected")
                 return False
             await asyncio.sleep(0.1)
         return False
@@ -199,23 +200,24 @@
         for _ in range(3):
             try:
                 status, headers, got = await http1.call(address, method, path, body=body, timeout=2)
-            except http1.Broken:
+            except http1.IncompleteResponse:
                 return 0, b""
             if status != 307:
                 return status, got
             address = headers["location"].split("//", 1)[1].split("/", 1)[0]
         return 0, b""
 
-    async def read_document(self, patience=10):
-        """The version read back; nothing where no control host was sure."""
-        until = time.monotonic() + patience
+    async def read_document(self, timeout_s=10):
+        """The version of the document that a control host returns; None if none answers in time."""
+        until = time.monotonic() + timeout_s
         while time.monotonic() < until:
             acked = self.acked
             status, got = await self.control_call("GET", "/Config.Read")
             if status == 200:
                 version = json.loads(got)["version"]
                 if version < acked:
-                    self.fleet.break_rule("settings", "read %d after %d" % (version, acked))
+                    self.fleet.break_rule("settings", "read version %d after %d was acknowledged" %
+                                          (version, acked))
                 return version
             await asyncio.sleep(0.1)
         return None
@@ -230,7 +232,7 @@
     # ---- callers
 
     async def ask(self, route, entry=0, key="key-1", timeout=6.0, body=b"body"):
-        """One request and the check of what came back. Returns its status; 0 for no answer."""
+        """Sends one request and checks the response. Returns its status; 0 for no response."""
         request = "%016x" % self.fleet.random.getrandbits(64)
         headers = {"Host": "site.example", "Request-Id": request, "Model": "m",
                    "Token-Usage": "500,80", "Deadline-Ms": str(int(timeout * 1000)),
@@ -243,9 +245,9 @@
         try:
             status, got, answer = await http1.call(address, "POST", "/%s/x" % route, headers, body,
                                                    timeout)
-        except http1.Broken as broken:
-            if isinstance(broken, http1.Cut):
-                self.cut.append(request)
+        except http1.IncompleteResponse as broken:
+            if isinstance(broken, http1.TruncatedResponse):
+                self.truncated.append(request)
             return 0
         self.check(route, request, key, sent, status, got, answer)
         if status == 503:
@@ -255,43 +257,44 @@
     def check(self, route, request, key, sent, status, headers, body):
         runs = self.fleet.runs.get(request, [])
         if status in (429, 503) and runs and route == "save":
-            self.fleet.break_rule("refused", "%s ran and was refused" % request)
+            self.fleet.break_rule("refused", "%s ran and was reported as refused" % request)
         if status == 200:
             self.check_success(route, request, headers, body)
-        gone = self.revoked.get(key)
-        if gone is not None and sent > gone + REVOKE_S and runs:
-            self.fleet.break_rule("revoked key", "%s ran" % request)
+        revoked_at = self.revoked.get(key)
+        if revoked_at is not None and sent > revoked_at + REVOKE_S and runs:
+            self.fleet.break_rule("revoked key", "%s ran after its key was revoked" % request)
 
     def check_success(self, route, request, headers, body):
         if headers.get("request-id") != request:
-            self.fleet.break_rule("mixed", "an answer to another request")
+            self.fleet.break_rule("mixed", "a response to another request")
         if route not in ("chat", "feed"):
             if self.fleet.signatures.get(headers.get("response-signature")) != body:
-                self.fleet.break_rule("mixed", "another body than the worker's")
+                self.fleet.break_rule("mixed", "the body differs from the endpoint's")
             return
         ids = [int(line[4:]) for line in body.decode().splitlines() if line.startswith("id: ")]
         if ids != list(range(1, EVENTS + 1)):
-            self.fleet.break_rule("stream", "events %s of %s" % (ids, request))
+            self.fleet.break_rule("stream", "event ids %s in the stream of %s" % (ids, request))
 
     def check_all(self):
-        """What can only be said at the end."""
+        """Checks the rules that need the whole run, and returns all violations."""
         for request, runs in self.fleet.runs.items():
             if len(runs) > 1 and request in self.once:
                 self.fleet.break_rule("twice", request)
-        for when, worker in self.fleet.arrivals:
-            left = self.fleet.leaving.get(worker)
-            if left is not None and when > left + DRAIN_S:
-                self.fleet.break_rule("drain", "%s got work %.1f s later" % (worker, when - left))
+        for when, endpoint in self.fleet.arrivals:
+            leaving_since = self.fleet.leaving.get(endpoint)
+            if leaving_since is not None and when > leaving_since + DRAIN_S:
+                self.fleet.break_rule("drain", "%s got a request %.1f s after its drain began" %
+                                      (endpoint, when - leaving_since))
         return self.fleet.broken
 
     async def metric(self, process, name):
-        """The value of one metric of a process, labels included in its name."""
+        """The value of one metric of a process; `name` includes the labels."""
         _, _, text = await http1.call(process.config["metrics"], "GET", "/metrics")
         return next((float(line.rsplit(" ", 1)[1]) for line in text.decode().splitlines()
                      if line.startswith(name + " ")), 0.0)
 
-    async def until(self, condition, patience=15):
-        end = time.monotonic() + patience
+    async def until(self, condition, timeout_s=15):
+        end = time.monotonic() + timeout_s
         while time.monotonic() < end:
             if await condition():
                 return True
@@ -302,5 +305,6 @@
         return await self.ask(route, entry) == 200
 
     def open_groups(self):
-        return sum(1 for w in self.workers
-                   if not w.dark and w.group and w.group["rank"] == 0 and w.group["state"] == "open")
+        return sum(1 for w in self.endpoints
+                   if not w.unresponsive and w.group and w.group["rank"] == 0 and
+                   w.group["state"] == "open")
--- a/tests/site/soak.py
+++ b/tests/site/soak.py
@@ -1,12 +1,12 @@
-"""Random faults from outside against the real site programs, each run from a seed that is printed.
-Clients go on all the time; faults come in series and overlap. Checks run while it runs; a seed that
-ever failed is kept in seeds.txt with a line on its cause.
+"""Injects random faults into a site of real programs; the printed seed repeats a schedule.
+Callers send requests throughout, faults follow one another and overlap, and the rules are checked
+during the run and after it. A seed that ever failed is kept in seeds.txt with its cause.
 
 soak.py [--seeds FIRST-LAST] [--seconds N] [--jobs N] [--shape small|large] [--plant FAULT]
         [--held-links]
 
-With --held-links, links also hold up what they carry while control fails over. Without it a seed
-plays what it always did."""
+With --held-links, links also delay their data while a control host is lost. The option extends the
+list of faults, so a seed gives another schedule with it than without it."""
 import argparse
 import asyncio
 import os
@@ -25,72 +25,72 @@
 
 import knownred  # noqa: E402
 from proxy import FaultProxy  # noqa: E402
-from sitefleet import Site, own_net  # noqa: E402
-from standin import ForeignWriter, Worker  # noqa: E402
+from sitefleet import Site, reserve_net  # noqa: E402
+from standin import MalformedReporter, Endpoint  # noqa: E402
 
 SHAPES = {
-    "small": dict(controls=3, entries=2, workers=(4, 4), plain=2, tolerance=1),
-    "large": dict(controls=5, entries=12, workers=(12, 12, 12), plain=6, tolerance=2),
+    "small": dict(controls=3, entries=2, endpoints=(4, 4), plain=2, tolerance=1),
+    "large": dict(controls=5, entries=12, endpoints=(12, 12, 12), plain=6, tolerance=2),
 }
-# Kept below the largest file that the log ever needs in a run: the next append fails.
+# Smaller than the replicated log of any run, so that the next append fails.
 FULL_DISK_BYTES = 256
 
 
 class Schedule:
-    """Picks faults and heals them again; everything it picks follows from the seed."""
+    """Picks faults and heals them; all choices follow from the seed."""
 
     def __init__(self, site, proxy, seed, held_links=False):
         self.held_links = held_links
         self.site, self.proxy, self.random = site, proxy, random.Random(seed)
-        self.lost = set()  # control hosts that are down, wiped, paused, cut or full
+        self.lost = set()  # control hosts that are down, wiped, paused, partitioned or out of disk
         self.log = []
-        self.writer = ForeignWriter(site.fleet, 250)
+        self.reporter = MalformedReporter(site.fleet, 250)
 
-    def control(self):
-        """A control host that may be lost beside those that are, or nobody."""
+    def choose_control(self):
+        """A control host that may be lost too, or None at the tolerated number of lost hosts."""
         if len(self.lost) >= self.site.controls[0].config["tolerated_hosts"]:
             return None
         free = [p for p in self.site.controls if p.name not in self.lost]
         chosen = self.random.choice(free)
         if chosen.running():
             return chosen
-        # Seen once, as an error of this harness that kept no logs: say who, and keep them.
-        self.site.fleet.break_rule("ended", "%s ended by itself with %s" % (
+        # An exit without a fault is a violation, so that the report names it and the logs are kept.
+        self.site.fleet.break_rule("ended", "%s exited by itself with %s" % (
             chosen.name, chosen.popen.returncode))
         return None
 
-    def lose(self, process, heal):
+    def mark_lost(self, process, heal):
         self.lost.add(process.name)
 
         async def back():
             heal()
-            await asyncio.sleep(2.0)  # a host that came back still counts as lost for a while
+            await asyncio.sleep(2.0)  # a recovered host still counts as lost for this long
             self.lost.discard(process.name)
 
         return back
 
     def kill_control(self):
-        process = self.control()
+        process = self.choose_control()
         if process:
             process.kill()
-            return "kill " + process.name, self.lose(process, process.start)
+            return "kill " + process.name, self.mark_lost(process, process.start)
 
     def wipe_control(self):
-        process = self.control()
+        process = self.choose_control()
         if process:
             process.kill()
             shutil.rmtree(process.config["data"], ignore_errors=True)
-            return "wipe " + process.name, self.lose(process, process.start)
+            return "wipe " + process.name, self.mark_lost(process, process.start)
 
     def pause_control(self):
-        process = self.control()
+        process = self.choose_control()
         if process:
             process.send(signal.SIGSTOP)
             return ("pause " + process.name,
-                    self.lose(process, lambda: process.send(signal.SIGCONT)))
+                    self.mark_lost(process, lambda: process.send(signal.SIGCONT)))
 
     def fill_disk(self):
-        process = self.control()
+        process = self.choose_control()
         if process:
             full = (FULL_DISK_BYTES, resource.RLIM_INFINITY)
             resource.prlimit(process.popen.pid, resource.RLIMIT_FSIZE, full)
@@ -100,23 +100,23 @@
                 if process.running():
                     resource.prlimit(process.popen.pid, resource.RLIMIT_FSIZE, free)
 
-            return "full disk at " + process.name, self.lose(process, heal)
+            return "full disk on " + process.name, self.mark_lost(process, heal)
 
-    def cut_control(self):
-        process = self.control()
+    def partition_control(self):
+        process = self.choose_control()
         if process:
             mode = self.random.choice(["silent", "silent_in", "silent_out", "slow", "refuse"])
             self.proxy.set(process.name, mode)
 
             def heal():
-                self.proxy.set(process.name, "refuse")  # what was swallowed is gone
+                self.proxy.set(process.name, "refuse")  # closes connections that lost data
                 self.proxy.set(process.name, "pass")
 
-            return "%s %s" % (mode, process.name), self.lose(process, heal)
+            return "%s %s" % (mode, process.name), self.mark_lost(process, heal)
 
-    def hold_links(self):
-        """A control host is lost while the links of all of them hold up what they carry."""
-        process = self.control()
+    def delay_links(self):
+        """Kills or pauses a control host while the links of all control hosts delay their data."""
+        process = self.choose_control()
         if process:
             how = self.random.choice([signal.SIGKILL, signal.SIGSTOP])
             self.proxy.delay = self.random.uniform(0.2, 2.0)
@@ -136,8 +136,8 @@
                 else:
                     process.send(signal.SIGCONT)
 
-            return ("links hold up for %.1f s, %s %s" % (self.proxy.delay, how.name, process.name),
-                    self.lose(process, heal))
+            return ("links delay by %.1f s, %s %s" % (self.proxy.delay, how.name, process.name),
+                    self.mark_lost(process, heal))
 
     def all_controls(self):
         if self.lost:
@@ -158,71 +158,72 @@
             return "hup " + process.name, None
         if what == "pause":
             process.send(signal.SIGSTOP)
-            return "pause " + process.name, self.then(lambda: process.send(signal.SIGCONT))
+            return "pause " + process.name, self.heal_with(lambda: process.send(signal.SIGCONT))
         if what == "kill":
             process.kill()
         else:
             process.send(signal.SIGTERM)
 
-        def again():
+        def start_again():
             if process.running():
                 process.kill()
             process.start()
 
-        return what + " " + process.name, self.then(again)
+        return what + " " + process.name, self.heal_with(start_again)
 
-    def then(self, heal):
+    def heal_with(self, heal):
         async def back():
             heal()
         return back
 
-    def worker(self):
-        worker = self.random.choice(self.site.workers)
-        what = self.random.choice(["dark", "flap", "reborn", "late", "drain"])
-        if worker.dark:
+    def endpoint(self):
+        endpoint = self.random.choice(self.site.endpoints)
+        what = self.random.choice(["unresponsive", "flap", "restart", "delayed orders", "drain"])
+        if endpoint.unresponsive:
             return None
-        if what == "late":
-            worker.delay_orders = 1.0
+        if what == "delayed orders":
+            endpoint.delay_orders = 1.0
 
             def on_time():
-                worker.delay_orders = 0
+                endpoint.delay_orders = 0
 
-            return "late orders at " + worker.id, self.then(on_time)
+            return "delayed orders at " + endpoint.id, self.heal_with(on_time)
         if what == "drain":
-            worker.state = "draining"
-            asyncio.ensure_future(worker.report())
+            endpoint.state = "draining"
+            asyncio.ensure_future(endpoint.report())
         else:
-            worker.dark = True
+            endpoint.unresponsive = True
         if what == "flap":
-            def shine():
-                worker.restart()
-            return "flap " + worker.id, self.then(shine)
-        if what == "reborn":
-            return "reborn " + worker.id, self.then(lambda: worker.restart(under_its_name=True))
-        return "%s %s" % (what, worker.id), self.replace(worker)
-
-    def foreign(self):
-        """Another writer names an address of its own, and endpoints that are known."""
-        worker = self.random.choice(self.site.workers)
-        body = self.random.choice(list(self.writer.bodies(worker)))
-        name = self.random.choice([worker.id, "x-%d" % self.random.randrange(100)])
-        asyncio.ensure_future(self.write_foreign(name, body))
-        return "foreign report as " + name, None
-
-    async def write_foreign(self, name, body):
-        if await self.writer.write(name, body):
-            self.site.fleet.break_rule("foreign", "a report as %s was taken" % name)
+            def end_flap():
+                endpoint.restart()
+            return "flap " + endpoint.id, self.heal_with(end_flap)
+        if what == "restart":
+            return "restart " + endpoint.id, self.heal_with(
+                lambda: endpoint.restart(under_same_id=True))
+        return "%s %s" % (what, endpoint.id), self.replace(endpoint)
+
+    def malformed_report(self):
+        """Sends a malformed report with a foreign address, under a known or an unknown id."""
+        endpoint = self.random.choice(self.site.endpoints)
+        body = self.random.choice(list(self.reporter.bodies(endpoint)))
+        name = self.random.choice([endpoint.id, "x-%d" % self.random.randrange(100)])
+        asyncio.ensure_future(self.send_malformed(name, body))
+        return "malformed report as " + name, None
+
+    async def send_malformed(self, name, body):
+        if await self.reporter.write(name, body):
+            self.site.fleet.break_rule("foreign", "a malformed report as %s was accepted" % name)
 
     def replace(self, old):
         async def back():
-            number = self.site.next_worker
-            self.site.next_worker += 1
+            number = self.site.next_endpoint
+            self.site.next_endpoint += 1
             if old.state == "draining":
                 await asyncio.sleep(2.5)
             old.stop()
-            worker = Worker(self.site.fleet, number, old.service, old.domain)
-            self.site.workers = [w for w in self.site.workers if w is not old] + [worker]
-            await worker.start()
+            endpoint = Endpoint(self.site.fleet, number, old.service, old.domain)
+            self.site.endpoints = [w for w in self.site.endpoints if w is not old] + [endpoint]
+            await endpoint.start()
         return back
 
     def operator(self):
@@ -247,14 +248,14 @@
             await asyncio.sleep(1)
 
     async def run(self, seconds):
-        await self.writer.start()
+        await self.reporter.start()
         until = time.monotonic() + seconds
         healing = []
         choices = [self.kill_control, self.wipe_control, self.pause_control, self.fill_disk,
-                   self.cut_control, self.all_controls, self.entry, self.entry, self.worker,
-                   self.worker, self.worker, self.operator, self.operator]
+                   self.partition_control, self.all_controls, self.entry, self.entry, self.endpoint,
+                   self.endpoint, self.endpoint, self.operator, self.operator]
         if self.held_links:
-            choices += [self.hold_links] * 4
+            choices += [self.delay_links] * 4
         while time.monotonic() < until:
             done = self.random.choice(choices)()
             if done:
@@ -264,7 +265,7 @@
                     healing.append(asyncio.ensure_future(self.later(pause, done[1])))
             await asyncio.sleep(self.random.uniform(0.05, 1.2))
         await asyncio.gather(*healing)
-        self.writer.stop()
+        self.reporter.stop()
 
     async def later(self, pause, heal):
         await asyncio.sleep(pause)
@@ -272,7 +273,7 @@
 
 
 async def callers(site, stop, counts):
-    """Requests without pause, one after another, until told to stop."""
+    """Sends requests one after another until `stop` is set."""
     turn = site.fleet.random.randrange(1000)
     while not stop.is_set():
         turn += 1
@@ -283,7 +284,7 @@
 
 
 def plant(site, what):
-    """Breaks something on purpose, to show that the checks see it."""
+    """Records a violation of one rule on purpose, to show that the checks report it."""
     if what == "twice":
         site.once.add("planted")
         site.fleet.runs["planted"] = [(0, "a"), (0, "b")]
@@ -313,23 +314,23 @@
     try:
         await site.start()
         if not await site.until(site.serves, 20):
-            site.fleet.break_rule("start", "the site never served")
+            site.fleet.break_rule("start", "the site served no stream in time")
         load = [asyncio.ensure_future(callers(site, stop, counts)) for _ in range(6)]
         await schedule.run(seconds)
         proxy.heal()
         if not await site.until(site.serves, 25):
-            site.fleet.break_rule("recover", "no stream is served after all faults are healed")
+            site.fleet.break_rule("recover", "no stream was served after all faults were healed")
         if await site.read_document(15) is None:
-            site.fleet.break_rule("recover", "the document can not be read back")
+            site.fleet.break_rule("recover", "the document could not be read back")
         stop.set()
         await asyncio.gather(*load)
         if planted:
             plant(site, planted)
         broken = site.check_all()
         if broken:
-            kept = "/tmp/liftweir-soak-%d" % seed
-            shutil.rmtree(kept, ignore_errors=True)
-            shutil.copytree(site.folder, kept)
+            kept_logs = "/tmp/liftweir-soak-%d" % seed
+            shutil.rmtree(kept_logs, ignore_errors=True)
+            shutil.copytree(site.folder, kept_logs)
         print("seed %d: %s; answers %s; %d faults%s" % (
             seed, "BROKEN" if broken else "good", dict(sorted(counts.items())), len(schedule.log),
             "".join("\n  " + line for line in broken[:8] + (schedule.log if broken else []))),
@@ -355,7 +356,7 @@
     if options.net >= 0:
         return asyncio.run(soak(seeds[0], options.seconds, options.shape, options.net,
                                 options.plant, options.held_links))
-    running, failed, free = {}, [], [own_net() for _ in range(options.jobs)]
+    running, failed, free = {}, [], [reserve_net() for _ in range(options.jobs)]
     while seeds or running:
         while seeds and free:
             seed, net = seeds.pop(0), free.pop(0)
--- a/tests/site/test_resting.py
+++ b/tests/site/test_resting.py
@@ -1,38 +1,41 @@
-"""Endpoints that turn requests away, and ask the entry host that sent them for some rest."""
+"""Endpoints that reject requests and request a back-off from the entry host that sent them."""
 import asyncio
 
-from test_limited import Load, limited_workers
-from test_site import play
+from test_limited import Load, limited_endpoints
+from test_site import run_scenario
 
-AFTER_S, MOST = 0.5, 2
+IN_FLIGHT_S, MOST_DURING_BACKOFF = 0.5, 2
 
 
-def most_within_a_rest(fleet):
-    """Requests that came from one entry host while the worker wanted none of it."""
+def most_during_backoff(fleet):
+    """The largest number of requests that an entry host sent to an endpoint during a back-off that
+    the endpoint had requested from it."""
     most = 0
-    for told_at, worker, request, rest in fleet.rests:
+    for requested_at, endpoint, request, backoff in fleet.backoffs:
         entry = fleet.entry_of.get(request)
-        within = [at for at, other, another in fleet.deliveries
-                  if other == worker and fleet.entry_of.get(another) == entry
-                  and told_at + AFTER_S < at < told_at + rest]
-        most = max(most, len(within))
+        during = [at for at, other, another in fleet.deliveries
+                  if other == endpoint and fleet.entry_of.get(another) == entry
+                  and requested_at + IN_FLIGHT_S < at < requested_at + backoff]
+        most = max(most, len(during))
     return most
 
 
-def check_returns(fleet):
-    """Nobody is told to return before an endpoint may be asked, and not all at one moment."""
-    refusals = [(at, after) for at, after in fleet.retry_after if at > fleet.rests[0][0]]
+def check_retry_after(fleet):
+    """Checks that Retry-After names no time at which all endpoints still back off, and that it
+    spreads the refused callers over time."""
+    refusals = [(at, after) for at, after in fleet.retry_after if at > fleet.backoffs[0][0]]
     for at, after in refusals:
-        ends = min(told + rest for told, _, _, rest in fleet.rests if told + rest > at)
-        assert at + after >= ends - 0.1, "told to return before anyone may be asked"
+        earliest = min(start + backoff for start, _, _, backoff in fleet.backoffs
+                       if start + backoff > at)
+        assert at + after >= earliest - 0.1, "Retry-After ends before any back-off does"
     returns = sorted(at + after for at, after in refusals)
     most = max(sum(1 for other in returns if 0 <= other - at < 0.1) for at in returns)
-    assert most <= len(returns) / 2, "%d of %d return together" % (most, len(returns))
+    assert most <= len(returns) / 2, "%d of %d callers retry within 0.1 s" % (most, len(returns))
 
 
-def play_resting(rest, count, route="look", per_second=60, seconds=6, everyone_rests=False,
+def run_backoff(backoff, count, route="look", per_second=60, seconds=6, all_back_off=False,
                  **shape):
-    """`count` endpoints want rest for some seconds. Returns the statuses of their callers."""
+    """`count` endpoints request back-off for some seconds. Returns the callers' statuses."""
     statuses = []
 
     async def scenario(site):
@@ -41,40 +44,41 @@
         load = Load(site, route, per_second, (1, 1, 1))
         running = asyncio.ensure_future(load.run(seconds + 5))
         await asyncio.sleep(1)
-        workers = limited_workers(site, route)[:count]
-        for worker in workers:
-            worker.rest_s = rest
+        endpoints = limited_endpoints(site, route)[:count]
+        for endpoint in endpoints:
+            endpoint.backoff_s = backoff
         await asyncio.sleep(seconds)
-        for worker in workers:
-            worker.rest_s = 0
+        for endpoint in endpoints:
+            endpoint.backoff_s = 0
         await running
         fleet = site.fleet
-        assert len(fleet.rests) > 0
-        most = most_within_a_rest(fleet)
-        assert most <= MOST, "%d requests within a rest" % most
-        served = {worker for runs in fleet.runs.values() for at, worker in runs
-                  if at > fleet.rests[-1][0]}
-        assert served >= {worker.id for worker in workers}, "an endpoint was not used again"
+        assert len(fleet.backoffs) > 0
+        most = most_during_backoff(fleet)
+        assert most <= MOST_DURING_BACKOFF, "%d requests during a back-off" % most
+        served = {endpoint for runs in fleet.runs.values() for at, endpoint in runs
+                  if at > fleet.backoffs[-1][0]}
+        assert served >= {endpoint.id for endpoint in endpoints}, \
+            "an endpoint got no request after its back-off"
         statuses.extend(load.statuses)
-        if everyone_rests:
-            check_returns(fleet)
+        if all_back_off:
+            check_retry_after(fleet)
 
-    play(scenario, entries=3, **shape)
+    run_scenario(scenario, entries=3, **shape)
     return statuses
 
 
-def test_an_entry_host_leaves_a_plain_endpoint_its_rest():
-    assert set(play_resting(3, 1, plain=4, workers=(2, 2))) == {200}
+def test_an_entry_host_respects_the_backoff_of_a_plain_endpoint():
+    assert set(run_backoff(3, 1, plain=4, endpoints=(2, 2))) == {200}
 
 
-def test_a_rest_may_hold_a_part_of_a_second():
-    assert set(play_resting(2.5, 1, plain=4, workers=(2, 2))) == {200}
+def test_a_backoff_may_be_a_fraction_of_a_second():
+    assert set(run_backoff(2.5, 1, plain=4, endpoints=(2, 2))) == {200}
 
 
-def test_an_entry_host_leaves_a_lead_its_rest():
-    assert set(play_resting(3, 1, route="chat", per_second=40, workers=(2, 2, 2))) == {200}
+def test_an_entry_host_respects_the_backoff_of_a_lead():
+    assert set(run_backoff(3, 1, route="chat", per_second=40, endpoints=(2, 2, 2))) == {200}
 
 
-def test_callers_are_refused_with_an_honest_time_while_all_endpoints_rest():
-    statuses = play_resting(3, 2, per_second=40, everyone_rests=True, plain=2, workers=(2, 2))
+def test_callers_get_a_realistic_retry_after_while_all_endpoints_back_off():
+    statuses = run_backoff(3, 2, per_second=40, all_back_off=True, plain=2, endpoints=(2, 2))
     assert set(statuses) == {200, 503}
--- a/tests/site/test_site.py
+++ b/tests/site/test_site.py
@@ -1,4 +1,5 @@
-"""The site programs against stand-ins, from a calm start to lost disks. No bench is needed."""
+"""The site programs against stand-ins for endpoints: normal operation, lost hosts, delayed and
+malformed reports, shutdowns and lost disks."""
 import asyncio
 import json
 import os
@@ -9,15 +10,15 @@
 import http1
 from proxy import FaultProxy
 from sitefleet import CALLERS, READY, Site
-from standin import ForeignWriter
+from standin import MalformedReporter
 
 
-def play(scenario, **shape):
+def run_scenario(scenario, **shape):
     async def run():
         site = Site(**shape)
         try:
             await site.start()
-            assert await site.until(site.serves), "the site never served"
+            assert await site.until(site.serves), "the site served no stream in time"
             await scenario(site)
             assert site.check_all() == []
         finally:
@@ -37,11 +38,12 @@
         status, _, _ = await http1.call("%s:%d" % (site.entry_ip(), READY), "GET", "/readyz")
         assert status == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-# Found by reading: a plain service's stream was counted as an engine's, and watched for ever.
-def test_streams_of_a_plain_service_are_not_watched_like_an_engines():
+# The streams of a plain service were once counted as those of an engine and never left the stall
+# detector.
+def test_streams_of_a_plain_service_have_no_stall_detection():
     async def scenario(site):
         for _ in range(4):
             assert await site.ask("feed") == 200
@@ -49,77 +51,77 @@
         assert await site.ask("feed") == 200
         assert "stalled" not in open(site.entries[0].log).read()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_stream_goes_on_at_another_group_when_a_member_is_lost():
+def test_a_stream_resumes_at_another_group_when_a_member_is_lost():
     async def scenario(site):
         assert await site.until(lambda: asyncio.sleep(0, site.open_groups() >= 3))
         streams = [asyncio.ensure_future(site.ask("chat", n % 2)) for n in range(16)]
         await asyncio.sleep(0.1)
-        lead = next(w for w in site.workers if w.group and w.group["state"] == "open")
-        site.fleet.workers[lead.group["members"][1]].dark = True
+        lead = next(w for w in site.endpoints if w.group and w.group["state"] == "open")
+        site.fleet.endpoints[lead.group["members"][1]].unresponsive = True
         results = await asyncio.gather(*streams)
         assert results.count(200) >= 14, results
         assert await site.until(site.serves)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_members_of_a_lost_lead_are_used_again():
+def test_members_of_a_lost_lead_serve_in_other_groups():
     async def scenario(site):
-        lead = next(w for w in site.workers if w.group and w.group["state"] == "open")
-        lead.dark = True
+        lead = next(w for w in site.endpoints if w.group and w.group["state"] == "open")
+        lead.unresponsive = True
         ids = set(lead.group["members"]) - {lead.id}
 
         async def regrouped():
             await asyncio.gather(*(site.ask("chat", n % 2, timeout=2) for n in range(6)))
-            return all(site.fleet.workers[i].group is None or
-                       site.fleet.workers[i].group["epoch"] != lead.group["epoch"] for i in ids)
+            return all(site.fleet.endpoints[i].group is None or
+                       site.fleet.endpoints[i].group["epoch"] != lead.group["epoch"] for i in ids)
 
         assert await site.until(regrouped)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_hosts_that_start_again_under_their_names_serve_again():
+def test_group_members_that_restart_under_the_same_id_serve_again():
     async def scenario(site):
         for who in ((0, 1), (0,), (1,), (0, 1)):
-            for worker in site.workers:
-                worker.sequence += 1000
-                await worker.report()
-            lead = next(w for w in site.workers if w.group and w.group["state"] == "open")
-            members = [site.fleet.workers[m] for m in lead.group["members"]]
+            for endpoint in site.endpoints:
+                endpoint.sequence += 1000
+                await endpoint.report()
+            lead = next(w for w in site.endpoints if w.group and w.group["state"] == "open")
+            members = [site.fleet.endpoints[m] for m in lead.group["members"]]
             for rank in who:
-                members[rank].restart(under_its_name=True)
-            assert await site.until(site.serves, 6), "rank %s started again" % (who,)
+                members[rank].restart(under_same_id=True)
+            assert await site.until(site.serves, 6), "no service after ranks %s restarted" % (who,)
 
-    play(scenario, workers=(2,))
+    run_scenario(scenario, endpoints=(2,))
 
 
-def test_a_plain_service_that_starts_again_under_its_name_is_called_again():
+def test_a_plain_endpoint_that_restarts_under_the_same_id_is_called_again():
     async def scenario(site):
-        plain = next(w for w in site.workers if w.service == "app")
+        plain = next(w for w in site.endpoints if w.service == "app")
         plain.sequence += 1000
         await plain.report()
         for _ in range(3):
-            plain.restart(under_its_name=True)
+            plain.restart(under_same_id=True)
             assert await site.until(lambda: site.serves("look"), 3)
         plain.state = "draining"
         assert await plain.report()
         await asyncio.sleep(2.5)
         site.fleet.leaving.pop(plain.id)
-        plain.restart(under_its_name=True)
+        plain.restart(under_same_id=True)
         assert await site.until(lambda: site.serves("look"), 3)
 
-    play(scenario, plain=1)
+    run_scenario(scenario, plain=1)
 
 
-def test_reports_of_another_writer_name_no_endpoint_and_end_none():
+def test_malformed_reports_register_no_endpoint_and_remove_none():
     async def scenario(site):
-        writer = ForeignWriter(site.fleet, site.next_worker)
+        writer = MalformedReporter(site.fleet, site.next_endpoint)
         await writer.start()
-        plain = next(w for w in site.workers if w.service == "app")
+        plain = next(w for w in site.endpoints if w.service == "app")
         taken = []
         for n, body in enumerate(writer.bodies(plain)):
             for name in ("x-%d" % n, plain.id):
@@ -127,16 +129,16 @@
             assert await site.ask("look", n % 2) == 200
         writer.stop()
         assert not any(taken), taken
-        assert not plain.dark and await site.serves("look")
+        assert not plain.unresponsive and await site.serves("look")
         counted = 'liftweir_reports_refused{why="phase"}'
         assert sum([await site.metric(process, counted) for process in site.controls]) >= 6
 
-    play(scenario, plain=1)
+    run_scenario(scenario, plain=1)
 
 
-def test_a_leaving_endpoint_gets_no_new_work():
+def test_a_draining_endpoint_gets_no_new_work():
     async def scenario(site):
-        plain = [w for w in site.workers if w.service == "app"][0]
+        plain = [w for w in site.endpoints if w.service == "app"][0]
         plain.state = "draining"
         await plain.report()
         until = time.monotonic() + 3
@@ -144,24 +146,24 @@
             await site.ask("look")
         assert plain.id in site.fleet.leaving
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_removed_key_stops_and_an_older_version_never_returns():
+def test_a_revoked_key_is_rejected_and_no_older_version_is_read():
     async def scenario(site):
         assert await site.ask("look", key="key-3") == 200
         await site.revoke("key-3")
         assert await site.until(lambda: _status_is(site, "look", "key-3", 401), 3)
         assert await site.read_document() == site.acked
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 async def _status_is(site, route, key, status):
     return await site.ask(route, key=key) == status
 
 
-def test_what_was_acknowledged_survives_two_lost_disks_and_a_restart_of_all():
+def test_acknowledged_settings_survive_two_lost_disks_and_a_restart_of_all():
     async def scenario(site):
         for n in range(3):
             assert await site.put_document()
@@ -176,10 +178,10 @@
         assert await site.put_document()
         assert await site.until(site.serves)
 
-    play(scenario, controls=5, tolerance=2)
+    run_scenario(scenario, controls=5, tolerance=2)
 
 
-def test_requests_that_come_before_the_first_settings_are_answered_with_them():
+def test_requests_before_the_first_settings_wait_for_them():
     async def scenario(site):
         for process in site.entries + site.controls:
             process.kill()
@@ -192,7 +194,7 @@
             process.start()
         assert await asyncio.gather(*early) == [200] * 5
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 async def _listens(ip, port):
@@ -230,7 +232,7 @@
 
     proxy = FaultProxy()
     try:
-        play(scenario, proxy=proxy)
+        run_scenario(scenario, proxy=proxy)
     finally:
         proxy.close()
 
@@ -238,12 +240,12 @@
 async def _ready(ip):
     try:
         status, _, _ = await http1.call("%s:%d" % (ip, READY), "GET", "/readyz", timeout=1)
-    except http1.Broken:
+    except http1.IncompleteResponse:
         return False
     return status == 200
 
 
-def test_a_control_host_that_is_killed_or_paused_stops_nothing():
+def test_a_killed_or_paused_control_host_interrupts_nothing():
     async def scenario(site):
         site.controls[0].kill()
         assert await site.put_document()
@@ -255,10 +257,10 @@
         site.controls[1].send(signal.SIGCONT)
         assert await site.put_document()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_entry_host_that_is_told_to_stop_cuts_nothing():
+def test_an_entry_host_that_receives_sigterm_truncates_no_response():
     async def scenario(site):
         streams = [asyncio.ensure_future(site.ask("chat")) for _ in range(10)]
         await asyncio.sleep(0.05)
@@ -268,10 +270,10 @@
         assert status == 503
         assert site.entries[0].popen.wait(10) == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_entry_host_that_goes_on_being_asked_while_it_leaves_cuts_nothing():
+def test_requests_during_the_shutdown_of_an_entry_host_are_not_truncated():
     async def scenario(site):
         site.fleet.event_s = 0.1
         leaving = site.entries[0]
@@ -281,15 +283,16 @@
             asked.append(asyncio.ensure_future(site.ask("feed")))
             await asyncio.sleep(0.05)
         statuses = await asyncio.gather(*asked)
-        assert site.cut == [], "%d of %d answers broke off" % (len(site.cut), len(asked))
+        assert site.truncated == [], \
+            "%d of %d responses were truncated" % (len(site.truncated), len(asked))
         assert leaving.popen.wait() == 0
         assert statuses.count(200) > 20
         assert set(statuses) <= {200, 503, 0}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_requests_that_are_being_read_while_an_entry_host_leaves_are_answered():
+def test_requests_still_uploading_while_an_entry_host_shuts_down_are_answered():
     async def scenario(site):
         site.entries[0].send(signal.SIGTERM)
         statuses = await asyncio.gather(*(_upload(site, 0.1 + n * 0.04) for n in range(100)))
@@ -299,7 +302,7 @@
         assert site.entries[0].popen.wait(10) == 0
 
     async def _upload(site, takes):
-        """A save whose body ends so much later. Returns the status, 0 for no answer."""
+        """Sends a save that uploads for `takes` seconds. Returns the status, 0 for no response."""
         request = "%016x" % site.fleet.random.getrandbits(64)
         site.once.add(request)
         reader, writer = await asyncio.open_connection(site.entry_ip(), CALLERS)
@@ -319,10 +322,10 @@
         finally:
             writer.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_change_of_the_settings_file_is_survived():
+def test_sighup_stops_no_process():
     async def scenario(site):
         for process in site.controls + site.entries:
             process.send(signal.SIGHUP)
@@ -331,51 +334,51 @@
         assert await site.put_document()
         assert await site.serves()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_invalid_documents_are_refused_and_never_in_force():
+def test_invalid_documents_are_rejected_and_never_in_force():
     async def scenario(site):
         for body in (b"{", b"[]", b'{"version":99999,"routes":[{"name":"x","timeout-ms":1}]}'):
             status, _ = await site.control_call("POST", "/Config.Replace", body)
             assert status == 400
         assert await site.read_document() == site.acked
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_late_orders_break_no_group():
+def test_delayed_orders_break_no_group():
     async def scenario(site):
-        for worker in site.workers[:2]:
-            worker.delay_orders = 1.5
-        lead = next(w for w in site.workers[2:] if w.group and w.group["state"] == "open")
-        lead.dark = True
+        for endpoint in site.endpoints[:2]:
+            endpoint.delay_orders = 1.5
+        lead = next(w for w in site.endpoints[2:] if w.group and w.group["state"] == "open")
+        lead.unresponsive = True
         until = time.monotonic() + 6
         while time.monotonic() < until:
             await asyncio.gather(*(site.ask("chat", n % 2, timeout=2) for n in range(4)))
-        for worker in site.workers:
-            worker.delay_orders = 0
+        for endpoint in site.endpoints:
+            endpoint.delay_orders = 0
         assert await site.until(site.serves)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-# A report that a cut held back comes by hand, at a control host that has never heard of its sender.
-def test_a_late_report_of_a_dead_start_ends_nobody():
+# After a partition, a delayed report can reach a control host that does not know its sender.
+def test_a_delayed_report_of_a_previous_incarnation_changes_nothing():
     async def scenario(site):
-        lead = next(w for w in site.workers if w.group and w.group["state"] == "open")
-        plain = site.workers[-1]
+        lead = next(w for w in site.endpoints if w.group and w.group["state"] == "open")
+        plain = site.endpoints[-1]
         assert await site.until(lambda: asyncio.sleep(0, site.open_groups() >= 4))
         group = dict(lead.group)
-        orders = {w.address: (w.id, w.fence) for w in site.workers}
+        orders = {w.address: (w.id, w.fence) for w in site.endpoints}
         for number, control in enumerate(site.fleet.controls):
-            for worker, state in ((lead, "ready"), (plain, "draining"), (plain, "ready")):
-                body = {"service": "llm", "address": worker.address, "zone": "z1", "slots": 48,
+            for endpoint, state in ((lead, "ready"), (plain, "draining"), (plain, "ready")):
+                body = {"service": "llm", "address": endpoint.address, "zone": "z1", "slots": 48,
                         "version": "v1", "cold-remaining-ms": 0, "state": state,
                         "sequence": 70 + number, "domain": "d0",
                         "staged": ["m"], "models": [], "group": {"name": "m.9", "epoch": 9, "rank": 0,
                                                 "state": "open"}}
-                path = "/Instances.Heartbeat/i-dead%s%d" % (state, worker.address == lead.address)
+                path = "/Instances.Heartbeat/i-dead%s%d" % (state, endpoint.address == lead.address)
                 status, _, _ = await http1.call(control, "POST", path,
                                                 body=json.dumps(body).encode())
                 assert status == 200
@@ -384,17 +387,17 @@
             for route in ("chat", "look", "save"):
                 assert await site.ask(route, entry=0) == 200
                 assert await site.ask(route, entry=1) == 200
-            assert lead.group == group, "the living lead's group was touched"
-        assert orders == {w.address: (w.id, w.fence) for w in site.workers}
-        served = {worker for _, worker in site.fleet.arrivals}
+            assert lead.group == group, "the group of the running lead changed"
+        assert orders == {w.address: (w.id, w.fence) for w in site.endpoints}
+        served = {endpoint for _, endpoint in site.fleet.arrivals}
         assert lead.id in served and plain.id in served
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_new_start_takes_its_address_from_the_one_before():
+def test_a_new_incarnation_takes_over_the_address_of_the_previous_one():
     async def scenario(site):
-        plain = site.workers[-1]
+        plain = site.endpoints[-1]
         old, sequence = plain.id, plain.sequence
         plain.restart()
         begun = time.monotonic()
@@ -406,14 +409,14 @@
                 await plain.report()
                 await http1.call(control, "POST", "/Instances.Heartbeat/" + old,
                                  body=json.dumps(body).encode())
-        while plain.id not in {worker for _, worker in site.fleet.arrivals}:
+        while plain.id not in {endpoint for _, endpoint in site.fleet.arrivals}:
             assert await site.ask("look") == 200
-            assert time.monotonic() - begun < 1.0, "the newer start was never used"
+            assert time.monotonic() - begun < 1.0, "the new incarnation got no request"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_hundreds_of_callers_that_send_nothing_more_are_let_go():
+def test_hundreds_of_idle_callers_are_disconnected():
     async def scenario(site):
         writers = []
         for _ in range(300):
@@ -428,4 +431,4 @@
         for writer in writers:
             writer.close()
 
-    play(scenario)
+    run_scenario(scenario)
