--- a/tests/site/test_announced.py
+++ b/tests/site/test_announced.py
@@ -13,8 +13,8 @@
     late = 0
     for _, endpoint_id, request in site.fleet.deliveries:
         header_at = site.fleet.header_at.get((endpoint, site.fleet.entry_of.get(request)))
-        late += (endpoint_id == endpoint and header_at is not None and
-                 sent[request] > header_at + DRAIN_S)
+        late += endpoint_id == endpoint and header_at is not None and \
+            sent[request] > header_at + DRAIN_S
     return late
 
 
--- a/tests/stand/fake-engine.cpp
+++ b/tests/stand/fake-engine.cpp
@@ -1,4 +1,4 @@
-// Stand-in for a model engine: OpenAI-style completions with a token pace, a bounded prefix
+// Stand-in for a model engine: OpenAI-style completions at a set token rate, a bounded prefix
 // cache, fenced orders, resume and cancel, and faults that a test can inject at /control.
 #include "connection/httpclient.h"
 #include "connection/httpserver.h"
@@ -27,7 +27,7 @@
     unsigned next = 0;
     unsigned count = 0;
     bool streamed = false;
-    bool gone = false;
+    bool disconnected = false;
     std::string text;
     asio::steady_timer timer;
 
@@ -38,7 +38,7 @@
     return std::chrono::microseconds(static_cast<long>(ms * 1000));
 }
 
-void bump(Json::Value& counter) {
+void increment(Json::Value& counter) {
     counter = counter.asInt() + 1;
 }
 
@@ -55,7 +55,7 @@
           checks_fence_(options.number("fence", 1) != 0),
           resumes_(options.number("resumes", 1) != 0),
           store_(options.text("store", "")),
-          end_on_(options.text("end-on", "")) {
+          crash_on_(options.text("end-on", "")) {
         http_ = serve_http(io, address, {},
                            [this](const std::shared_ptr<HttpExchange>& e) { handle(e); });
     }
@@ -74,7 +74,7 @@
             return order(*e, body);
         if (path == "/cancel") {
             cancelled_.insert(body["id"].asString());
-            bump(record_["cancels"]);
+            increment(record_["cancels"]);
             return respond_json(*e, 200, "{}");
         }
         if (path == "/control") {
@@ -112,7 +112,7 @@
             return respond_json(e, 409, "{\"error\":\"fence\"}");
         fence_ = std::max<std::uint64_t>(fence, checks_fence_ ? fence_ : 0);
         const std::string kind = body["order"].asString();
-        bump(record_["orders"][kind]);
+        increment(record_["orders"][kind]);
         if (kind == "load") {
             load(body["model"].asString(), body["version"].asString());
         } else {
@@ -152,7 +152,7 @@
         });
     }
 
-    // Prefill time, less what the prefix cache holds.
+    // Returns the prefill time in milliseconds: a tenth of it if the prefix cache holds the prompt.
     double prefill(const std::string& prompt) {
         const std::uint64_t key =
             XXH64(prompt.data(), std::min<std::size_t>(prompt.size(), 512), 0);
@@ -163,7 +163,7 @@
         cache_.push_front(key);
         if (cache_.size() > cache_size_)
             cache_.pop_back();
-        bump(record_[hit ? "prefix_hits" : "prefix_misses"]);
+        increment(record_[hit ? "prefix_hits" : "prefix_misses"]);
         return hit ? prefill_ms_ / 10 : prefill_ms_;
     }
 
@@ -175,31 +175,31 @@
         s->exchange = e;
         s->id = e->header("X-Request-Id");
         s->prompt = body.isMember("prompt") ? body["prompt"].asString() : to_text(body["messages"]);
-        if (!end_on_.empty() && s->prompt.find(end_on_) != std::string::npos)
-            end_process(s->id);
+        if (!crash_on_.empty() && s->prompt.find(crash_on_) != std::string::npos)
+            crash(s->id);
         s->count = body.get("max_tokens", 16).asUInt();
         s->streamed = body.get("stream", false).asBool();
         s->next = static_cast<unsigned>(std::atoi(e->header("X-Resume-Tokens").c_str()));
-        bump(record_["started"]);
+        increment(record_["started"]);
         ++running_;
         Json::Value execution;
         execution["ms"] = Json::Int64(wall_millis());
         execution["fence"] = Json::UInt64(fence_);
         executions_.append(execution);
-        e->on_disconnect([s] { s->gone = true; });
+        e->on_disconnect([s] { s->disconnected = true; });
         if (s->streamed)
             e->begin(200, {{"Content-Type", "text/event-stream"}});
         s->timer.expires_after(millis(prefill(s->prompt)));
         s->timer.async_wait([this, s](asio::error_code) { token(s); });
     }
 
-    // Some requests end an engine: a fault of its own that no check of ours can foresee.
-    [[noreturn]] static void end_process(const std::string& id) {
-        std::cerr << "the engine ends on request " << id << std::endl;
+    // Some requests crash a real engine through a fault of its own that no check can foresee.
+    [[noreturn]] static void crash(const std::string& id) {
+        std::cerr << "the engine crashes on request " << id << std::endl;
         std::_Exit(1);
     }
 
-    // The text is a function of prompt and position, so that a checker can tell a whole answer.
+    // The text is a function of prompt and position, so that a test can verify a complete answer.
     static std::string token_text(const Stream& s) {
         boost::crc_32_type crc;
         crc.process_bytes(s.prompt.data(), s.prompt.size());
@@ -207,9 +207,9 @@
     }
 
     void token(const std::shared_ptr<Stream>& s) {
-        if (s->gone || cancelled_.contains(s->id)) {
+        if (s->disconnected || cancelled_.contains(s->id)) {
             --running_;
-            bump(record_["stopped"]);
+            increment(record_["stopped"]);
             return;
         }
         if (s->next >= s->count)
@@ -237,7 +237,7 @@
 
     void finish(const std::shared_ptr<Stream>& s) {
         --running_;
-        bump(record_["finished"]);
+        increment(record_["finished"]);
         if (s->streamed) {
             s->exchange->write("data: [DONE]\n\n", [](bool) {});
             s->exchange->finish();
@@ -259,17 +259,17 @@
     bool checks_fence_;
     bool resumes_;
     std::string store_;
-    std::string end_on_; // the process ends on a prompt that holds this; empty: never
+    std::string crash_on_; // the process exits on a prompt that contains this; empty: never
     unsigned stop_after_ = 0;
     std::uint64_t fence_ = 0;
     std::string state_ = "empty";
     std::string model_;
     std::string version_;
-    std::string resident_;
+    std::string resident_; // model@version in memory, which a load order finds ready
     int running_ = 0;
     std::list<std::uint64_t> cache_;
     std::set<std::string> cancelled_;
-    Json::Value executions_ = Json::arrayValue; // when a completion began, under which fence
+    Json::Value executions_ = Json::arrayValue; // start time and fence of each completion
     Json::Value record_ = Json::objectValue;
     std::unique_ptr<HttpServer> http_;
 };
@@ -279,7 +279,7 @@
 int main(int argc, const char** argv) {
     asio::io_context io;
     const StandOptions options(argc, argv);
-    // Several engines in one process, for benches with many hosts.
+    // One engine for each address, so that benches with many hosts need one process only.
     std::vector<std::unique_ptr<FakeEngine>> engines;
     std::istringstream addresses(options.text("http", "127.0.0.1:0"));
     for (std::string address; std::getline(addresses, address, ',');)
--- a/tests/stand/fake-service.cpp
+++ b/tests/stand/fake-service.cpp
@@ -1,5 +1,6 @@
-// Stand-in for a plain service that saves things: counts how often each one was executed. Paths:
-// /save runs and answers, /vanish runs and closes without an answer, /slow answers late.
+// Stand-in for a plain service with side effects: counts how often each call id was executed.
+// Paths: /save runs and responds, /slow responds after a long delay, /vanish runs and never
+// responds.
 #include "connection/httpserver.h"
 #include "options.h"
 #include "process/observe.h"
@@ -13,7 +14,7 @@
     const auto delay = std::chrono::milliseconds(static_cast<int>(options.number("delay-ms", 2)));
     const auto slow = std::chrono::milliseconds(static_cast<int>(options.number("slow-ms", 3000)));
     Json::Value counts(Json::objectValue);
-    std::vector<std::shared_ptr<HttpExchange>> held; // never answered
+    std::vector<std::shared_ptr<HttpExchange>> unanswered; // kept open without a response
     const auto handler = [&](const std::shared_ptr<HttpExchange>& e) {
         if (e->path() == "/counts")
             return respond_json(*e, 200, to_text(counts));
@@ -24,7 +25,7 @@
         out["saved"] = id;
         out["execution"] = counts[id];
         if (e->path() == "/vanish") {
-            held.push_back(e);
+            unanswered.push_back(e);
             return;
         }
         const auto timer =
--- a/tests/stand/loadgen.cpp
+++ b/tests/stand/loadgen.cpp
@@ -1,5 +1,5 @@
-// Open-loop load: requests leave at their planned times whatever happens to the ones before, and
-// latencies count from the planned time, so that a stall is seen by everybody whom it delayed.
+// Open-loop load generator: sends each request at its planned time, whatever happened to earlier
+// requests. Latencies count from the planned time, so a stall shows in every request it delayed.
 #include "connection/httpclient.h"
 #include "options.h"
 #include "version/keys.h"
@@ -22,7 +22,7 @@
     double whole_ms = 0;
     double worst_gap_ms = 0;
     int status = 0;
-    bool whole = false;
+    bool complete = false;
 };
 
 struct Plan {
@@ -133,9 +133,9 @@
                    },
                    [this, p, since](const Expected<int>& status, bool) {
                        p->result.whole_ms = since(Clock::now());
-                       p->result.whole = status && *status == 200 &&
-                                         (!plan_.stream || plan_.path.starts_with("/services") ||
-                                          p->tail.find("data: [DONE]") != std::string::npos);
+                       p->result.complete = status && *status == 200 &&
+                                            (!plan_.stream || plan_.path.starts_with("/services") ||
+                                             p->tail.find("data: [DONE]") != std::string::npos);
                        results_.push_back(p->result);
                    }});
     }
@@ -214,7 +214,7 @@
             ++sent;
             const std::string status = std::to_string(r.status);
             out["statuses"][status] = out["statuses"].get(status, 0).asInt() + 1;
-            if (!r.whole)
+            if (!r.complete)
                 continue;
             ++good;
             first.push_back(r.first_ms);
--- a/tests/stand/options.h
+++ b/tests/stand/options.h
@@ -5,7 +5,7 @@
 #include <map>
 #include <string>
 
-// "--name value" pairs of a stand-in's command line.
+// The "--name value" pairs of the command line of a stand-in or of the load generator.
 class StandOptions {
   public:
     StandOptions(int argc, const char** argv) {
