--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,4 +1,4 @@
-"""Slopes of each role's processor time, memory and control traffic with the number of hosts."""
+"""Measures how each role's processor time, memory and control traffic grow with the host count."""
 import sys
 import time
 
@@ -9,7 +9,7 @@
 
 
 def measure(c, ticket, processes):
-    """Per process: (ms of processor a second, MB, bytes in a second, bytes out a second)."""
+    """For each process: (processor ms per second, resident MB, bytes in per s, bytes out per s)."""
     def snapshot():
         return {name: usage(c.processes[name].pid) + link_bytes(c, where, ticket)
                 for name, where in processes.items()}
@@ -48,7 +48,7 @@
         out["change"] = (
             (usage(c.processes["control-%d" % leader].pid)[0] - cpu - idle) / 60 * 1000,
             (usage(c.processes["entry-1"].pid)[0] - entry_cpu - entry_idle) / 60 * 1000)
-        # A seventh of the agents restarts at once, as in a lost zone that comes back.
+        # A seventh of the agents restarts at the same time, as after the outage of a zone.
         began = time.monotonic()
         for name in sorted(c.domain_of)[:GROUP * max(1, groups // 7)]:
             c.processes[name].kill()
@@ -63,7 +63,7 @@
     sizes = [6, 12, 24, 48] if len(sys.argv) < 2 else [int(a) for a in sys.argv[1:]]
     runs = {size: one_size(size) for size in sizes}
     hosts = [size * GROUP for size in sizes]
-    units = ["ms of processor/s", "resident MB", "bytes in/s", "bytes out/s"]
+    units = ["processor ms/s", "resident MB", "bytes in/s", "bytes out/s"]
     rows = []
     for role in [r for r in runs[sizes[0]] if r not in ("zone restart", "change")]:
         for i, unit in enumerate(units):
@@ -73,9 +73,10 @@
     table("slopes over hosts (%s hosts, 4 entry hosts, %d s each)" % (hosts, SECONDS),
           ["role", "unit"] + ["%d hosts" % h for h in hosts] +
           ["base", "per host", "largest residual", "at 930 hosts"], rows)
-    table("one change of settings: ms of processor", ["hosts", "leading control", "entry"],
+    table("one change of settings: processor ms", ["hosts", "leading control", "entry"],
           [[h, runs[s]["change"][0], runs[s]["change"][1]] for h, s in zip(hosts, sizes)])
-    table("a seventh of the hosts restarts at once", ["hosts", "all groups serve again after s"],
+    table("a seventh of the hosts restarts at the same time",
+          ["hosts", "all groups serve again after s"],
           [[h, runs[s]["zone restart"]] for h, s in zip(hosts, sizes)])
 
     return 0
--- a/bench/common.py
+++ b/bench/common.py
@@ -1,4 +1,4 @@
-"""What the benches share: clusters, counters of processes, fits and tables."""
+"""Helpers that the benches share: clusters, process counters, load, linear fits and tables."""
 import json
 import os
 import statistics
@@ -30,7 +30,7 @@
 
 
 def link_bytes(cluster, address, ticket):
-    """(bytes in, bytes out) over the system's own links and datagrams, of one process."""
+    """(bytes in, bytes out) of one process over links and datagrams between processes."""
     _, _, body = http("GET", "http://%s/metrics" % address, None,
                       {"Authorization": "Bearer " + ticket})
     values = {}
@@ -41,7 +41,7 @@
 
 
 def fit(xs, ys):
-    """Least squares: (base, slope, largest residual)."""
+    """Linear least-squares fit: (base, slope, largest residual)."""
     slope, base = statistics.linear_regression(xs, ys) if len(xs) > 1 else (0, ys[0])
     return base, slope, max(abs(y - base - slope * x) for x, y in zip(xs, ys))
 
@@ -56,7 +56,7 @@
 
 
 def load(cluster, entries=None, **options):
-    """Open-loop load through the entry hosts (or the urls given); returns the summary."""
+    """Runs loadgen against the entry hosts, or against `urls`, and returns its summary."""
     urls = options.pop("urls", None) or ",".join(cluster.url(e) for e in
                                                  (entries or sorted(cluster.entry_http)))
     args = [os.path.join(BUILD, "loadgen"), "--urls", urls, "--key",
@@ -67,7 +67,7 @@
 
 
 class WeightStore:
-    """A weight store with a byte rate: loads of one site queue up behind each other."""
+    """A weight store that serves one load at a time, so that the loads of a site queue."""
 
     def __init__(self, seconds_each):
         store = self
--- a/bench/control.py
+++ b/bench/control.py
@@ -1,11 +1,13 @@
-"""Control: commits, settings in force, failover, and placement policies against baselines."""
+"""Benches of the control hosts: time until settings are committed and in force, rate of claimed
+calls, failover, and placement policies against their baselines."""
 import concurrent.futures
 import sys
 import time
 
 from common import Cluster, WeightStore, quantile, table, wait_for
 
-# Zagreb weighs stranded accelerators most, Nairobi group downtime.
+# Weights of (group downtime, stranded accelerators). Zagreb puts most weight on stranded
+# accelerators, Nairobi on group downtime.
 WEIGHTS = {"Zagreb": (1.0, 1.0), "Nairobi": (10.0, 0.1)}
 
 
@@ -21,11 +23,12 @@
                 ["in force ms", quantile(in_force, .5), quantile(in_force, .99), max(in_force)]]
         table("300 changes of settings, 3 control, 4 entry, 24 agents", ["what", "p50", "p99", "max"],
               rows)
-        # One entry host cut off in silence: the lease bounds the wait.
+        # With an entry host paused, a change waits until the settings lease of that host expires.
         c.processes["entry-4"].pause()
-        cut = [c.set("once/answer_bytes", 20000 + n)["in_force_ms"] for n in range(10)]
-        c.processes["entry-4"].go_on()
-        table("the same with one entry host paused", ["p50", "max"], [[quantile(cut, .5), max(cut)]])
+        paused_ms = [c.set("once/answer_bytes", 20000 + n)["in_force_ms"] for n in range(10)]
+        c.processes["entry-4"].resume()
+        table("the same with one entry host paused", ["p50", "max"],
+              [[quantile(paused_ms, .5), max(paused_ms)]])
 
 
 def claims_bench():
@@ -39,13 +42,13 @@
                        idempotency="r%d" % rate, stream=0)
             rows.append([rate, out["good"] / out["seconds"], out["whole_ms"]["p50"],
                          out["whole_ms"]["p99"], str(out["statuses"])])
-        table("calls claimed in the log (two commits each)",
-              ["asked/s", "whole/s", "p50 ms", "p99 ms", "statuses"], rows)
+        table("calls claimed in the replicated log (two commits each)",
+              ["sent/s", "completed/s", "p50 ms", "p99 ms", "statuses"], rows)
 
 
 def failover_bench():
     rows = []
-    for how in ("killed", "paused", "cut off in silence"):
+    for how in ("killed", "paused", "partitioned"):
         times = []
         for _ in range(5):
             with Cluster(entries=1, domains=(4,), services=0, proxied=True) as c:
@@ -58,7 +61,7 @@
                 elif how == "paused":
                     c.processes["control-%d" % node].pause()
                 else:
-                    c.cut("control-%d" % node)
+                    c.partition("control-%d" % node)
                 wait_for(lambda: any("result" in c.rpc_at(n, "status", timeout=1) for n in others),
                          "another leader", every=0.01)
                 times.append(time.monotonic() - began)
@@ -84,26 +87,26 @@
     victim = group["members"][1]
     c.processes[victim].pause()
     time.sleep(5)
-    c.processes[victim].go_on()
+    c.processes[victim].resume()
 
 
 def paused_without_spare(c, group):
-    """All spares are gone: two groups of one domain lose a member each."""
+    """Two groups lose one member each at the same time, and no domain has a spare host."""
     victims = [g["members"][1] for g in c.serving()[:2]]
     for victim in victims:
         c.processes[victim].pause()
     time.sleep(5)
     for victim in victims:
-        c.processes[victim].go_on()
+        c.processes[victim].resume()
 
 
-def domain_dark(c, group):
-    dark = names_of(c, group["domain"])
-    for name in dark:
+def domain_unreachable(c, group):
+    domain_hosts = names_of(c, group["domain"])
+    for name in domain_hosts:
         c.processes[name].pause()
     time.sleep(12)
-    for name in dark:
-        c.processes[name].go_on()
+    for name in domain_hosts:
+        c.processes[name].resume()
 
 
 def second_lost_after_repair(c, group):
@@ -125,13 +128,13 @@
         time.sleep(3)
 
 
-SCRIPTS = [member_killed, paused_and_back, paused_without_spare, domain_dark,
+SCRIPTS = [member_killed, paused_and_back, paused_without_spare, domain_unreachable,
            second_lost_after_repair, flapping]
-TAIL = 22  # time after a script in which its repairs still count
+TAIL = 22  # seconds after a script in which its repairs still count
 
 
 def placement_run(policy, weights, script, load_seconds):
-    store = WeightStore(0.05)  # the first loads are not measured
+    store = WeightStore(0.05)  # fast while the groups first form, which is not measured
     downtime, stranded = weights
     settings = {"placement/policy": policy, "placement/group_downtime_weight": downtime,
                 "placement/stranded_weight": stranded, "models/archive/replicas": 3,
--- a/bench/days/kinds.py
+++ b/bench/days/kinds.py
@@ -1,12 +1,12 @@
-"""Plays a day of our own for every kind of trouble, and prints which promises were broken.
+"""Simulates a day for every kind of fault and planned event, and prints which rules were broken.
 
-Each trouble comes alone, and beside a restart, a cut and a change of settings. Needs the users'
-bench:
+Each event is simulated alone, and together with a restart, a network partition and a change of
+settings. Needs an external bench:
 
     bench/days/kinds.py BENCH SITE [--jobs N] [--only WORD] [--seed N]
 
-BENCH is their program and SITE one of their deployment files. Exits with 1 where a rule was broken,
-a day could not be played or a process ended by itself, and where no day was played at all."""
+BENCH is its program and SITE one of its deployment files. Exits with 1 if a rule was broken, a day
+failed to run, a process exited by itself, or no day was simulated at all."""
 import argparse
 import concurrent.futures
 import json
@@ -16,10 +16,10 @@
 import tempfile
 import tomllib
 
-NOT_OFFERED = "not a trouble of this deployment"
-AT_S = 8.0  # seconds from the start of traffic: all groups serve, and half of the day is left
+NOT_OFFERED = "not offered by this deployment"
+AT_S = 8.0  # start of an event, after the start of traffic: all groups serve, half a day is left
 
-# Each trouble as it is written in a day; the list it belongs to follows its name.
+# Variants of each kind of event, as a day describes them. A day has two lists, `plan` and `faults`.
 PLANNED = {
     "release": [{"share": 0.5, "x": 2, "gap_s": 1.0}],
     "scale_out": [{"share": 0.3, "gap_s": 2.0}],
@@ -96,8 +96,8 @@
     "applied_late": [{"x": 0.6, "for_s": 8.0}],
     "reset_conns": [{"share": 0.5, "x": 0.7}, {"on": "core", "share": 0.5, "x": 0.7}],
 }
-# What comes beside each trouble, with the list that it belongs to.
-BESIDE = {
+# Events that accompany each event of the tables above, with the list of the day they belong to.
+COMPANIONS = {
     "alone": [],
     "restart": [("faults", {"at": AT_S + 0.3, "kind": "node_kill", "on": "core", "count": 1,
                             "for_s": 2.0, "how": "leader"})],
@@ -109,7 +109,7 @@
 
 
 def toml(value):
-    """A value of a day as TOML; JSON's numbers, strings and booleans are the same there."""
+    """A value as TOML. Numbers, strings and booleans are written as in JSON."""
     if isinstance(value, dict):
         return "{ %s }" % ", ".join("%s = %s" % (k, toml(v)) for k, v in value.items())
     if isinstance(value, list):
@@ -125,28 +125,28 @@
 
 
 def days(seed, service):
-    """Every day: its name and its text."""
+    """Yields the label, the companion and the TOML text of every day."""
     for group, table in (("plan", PLANNED), ("faults", FAULTS)):
         for kind, variants in table.items():
             for variant in variants:
-                of_groups = any(w in variant.get("how", "") for w in ("joined", "domain"))
-                if of_groups and service:
+                needs_groups = any(w in variant.get("how", "") for w in ("joined", "domain"))
+                if needs_groups and service:
                     variant = {**variant, "service": service}
-                for beside, others in BESIDE.items():
+                for companion, companion_events in COMPANIONS.items():
                     lists = {"plan": [], "faults": []}
                     lists[group].append({"at": AT_S, "kind": kind, **variant})
-                    for other_group, other in others:
-                        lists[other_group].append(other)
+                    for companion_list, companion_event in companion_events:
+                        lists[companion_list].append(companion_event)
                     label = " ".join([kind] + [str(v) for k, v in variant.items()
                                                if k in ("how", "on", "count")])
                     text = "name = %s\nseed = %d\nplan = %s\nfaults = %s\n" % (
-                        json.dumps(label + " + " + beside), seed, toml(lists["plan"]),
+                        json.dumps(label + " + " + companion), seed, toml(lists["plan"]),
                         toml(lists["faults"]))
-                    yield label, beside, text
+                    yield label, companion, text
 
 
-def play(bench, site, folder, number, text):
-    """One day. Returns what was broken, empty where nothing was, and its worth."""
+def simulate_day(bench, site, folder, number, text):
+    """Simulates one day. Returns the broken rules, an empty string if there are none, and G."""
     day, report = (os.path.join(folder, "%d.%s" % (number, end)) for end in ("toml", "json"))
     with open(day, "w") as out:
         out.write(text)
@@ -155,7 +155,7 @@
     if "is not open" in done.stderr + done.stdout:
         return NOT_OFFERED, None
     if not os.path.exists(report):
-        return "not played: " + (done.stderr + done.stdout).strip().splitlines()[-1][:100], None
+        return "not simulated: " + (done.stderr + done.stdout).strip().splitlines()[-1][:100], None
     with open(report) as file:
         result = json.load(file)
     broken = ["%s %s" % item for item in result["breaks"].items()]
@@ -176,22 +176,22 @@
     subprocess.run([options.bench, "build"], check=True, stdout=subprocess.DEVNULL)
     with tempfile.TemporaryDirectory() as folder, \
             concurrent.futures.ThreadPoolExecutor(options.jobs) as pool:
-        results = list(pool.map(lambda n: play(options.bench, options.site, folder, n,
+        results = list(pool.map(lambda n: simulate_day(options.bench, options.site, folder, n,
                                                chosen[n][2]), range(len(chosen))))
-    for (label, beside, _), (broken, worth) in zip(chosen, results):
-        print("%-34s %-8s %s %s" % (label, beside, "  -  " if worth is None else "%.3f" % worth,
+    for (label, companion, _), (broken, worth) in zip(chosen, results):
+        print("%-34s %-8s %s %s" % (label, companion, "  -  " if worth is None else "%.3f" % worth,
                                     broken or "kept"))
     return verdict([broken for broken, _ in results])
 
 
 def verdict(outcomes):
-    """The exit code, from what was broken on each day. A run in which nothing was played shows
-    nothing, so it is no success."""
-    played = [broken for broken in outcomes if broken != NOT_OFFERED]
-    red = sum(1 for broken in played if broken)
-    print("%d days, %d of them not offered here, %d red" % (
-        len(outcomes), len(outcomes) - len(played), red))
-    return 1 if red or not played else 0
+    """The exit code for the outcomes of all days. Days that the deployment does not offer count
+    neither as passed nor as failed; a run without any simulated day is no success."""
+    simulated = [broken for broken in outcomes if broken != NOT_OFFERED]
+    failed = sum(1 for broken in simulated if broken)
+    print("%d days, %d of them not offered by this deployment, %d failed" % (
+        len(outcomes), len(outcomes) - len(simulated), failed))
+    return 1 if failed or not simulated else 0
 
 
 if __name__ == "__main__":
--- a/bench/days/plays.py
+++ b/bench/days/plays.py
@@ -1,4 +1,4 @@
-"""Days of the users' bench, played on a checkout and kept as reports, for the programs beside this one."""
+"""Simulates days of an external bench with a checkout and keeps the reports."""
 import concurrent.futures
 import hashlib
 import json
@@ -6,11 +6,11 @@
 import subprocess
 import tomllib
 
-TROUBLED = ("trouble", "scale")  # slots of the days with trouble
+FAULT_SLOTS = ("trouble", "scale")  # slots of the days that inject faults
 
 
-class Play:
-    """One day with one seed on one deployment."""
+class Simulation:
+    """One simulated day with one seed on one deployment."""
 
     def __init__(self, site, day, seed):
         self.site, self.day, self.seed = site, day, seed
@@ -24,14 +24,14 @@
         return os.path.splitext(os.path.basename(self.site))[0]
 
 
-def days_with_trouble(site):
+def days_with_faults(site):
     with open(site, "rb") as file:
         days = tomllib.load(file)["day"]
-    return [day["name"] for day in days if day["slot"] in TROUBLED]
+    return [day["name"] for day in days if day["slot"] in FAULT_SLOTS]
 
 
 def seeds(text):
-    """"101-108,200" as a list of numbers."""
+    """Parses ranges such as "101-108,200" into a list of numbers."""
     out = []
     for part in text.split(","):
         first, _, last = part.partition("-")
@@ -40,12 +40,12 @@
 
 
 def plays(sites, days, seed_list):
-    return [Play(site, day, seed) for site in sites for day in (days or days_with_trouble(site))
-            for seed in seed_list]
+    return [Simulation(site, day, seed) for site in sites
+            for day in (days or days_with_faults(site)) for seed in seed_list]
 
 
 def state_of(checkout):
-    """Names the sources that a play runs, so that kept reports are never taken for another code's."""
+    """A digest of the sources that a simulation runs, to keep the reports of versions apart."""
     digest = hashlib.sha256()
     for folder in ("src", "platform", "deploy"):
         for root, folders, files in sorted(os.walk(os.path.join(checkout, folder))):
@@ -61,8 +61,8 @@
     subprocess.run([bench, "build"], cwd=checkout, check=True, stdout=subprocess.DEVNULL)
 
 
-class Player:
-    """Plays days on one checkout; a report that is there already is not played again."""
+class Simulator:
+    """Simulates days with one checkout. A day whose report exists is not simulated again."""
 
     def __init__(self, bench, checkout, folder, charge_processor=False, why="paired comparison"):
         self.bench, self.checkout, self.why = bench, checkout, why
@@ -71,26 +71,27 @@
         self.folder = os.path.join(folder, "%s-%s" % (state_of(checkout), kind))
         os.makedirs(self.folder, exist_ok=True)
 
-    def report(self, play, log=None):
-        """The report of a play, or None where it could not be played; with `log`, what its processes logged too."""
-        path = os.path.join(self.folder, "%s.%s.%s.json" % play.key)
+    def report(self, simulation, log=None):
+        """The report of a simulation, or None if it failed to run. With `log`, a pair of the report
+        and the log of its processes."""
+        path = os.path.join(self.folder, "%s.%s.%s.json" % simulation.key)
         if log is None and os.path.exists(path):
             with open(path) as file:
                 return json.load(file)
-        command = [self.bench, "run", play.site, play.day, "--seed", str(play.seed), "--report",
-                   path + ".new", "--why", self.why]
+        command = [self.bench, "run", simulation.site, simulation.day, "--seed",
+                   str(simulation.seed), "--report", path + ".new", "--why", self.why]
         command += [] if self.charge_processor else ["--no-cpu"]
         command += ["--log", log] if log else []
         done = subprocess.run(command, cwd=self.checkout, capture_output=True, text=True)
         if not os.path.exists(path + ".new"):
-            print("not played:", *play.key, done.stdout[-300:], done.stderr[-300:])
+            print("not simulated:", *simulation.key, done.stdout[-300:], done.stderr[-300:])
             return None
         os.replace(path + ".new", path)
         with open(path) as file:
             report = json.load(file)
         return (report, done.stderr) if log else report
 
-    def all(self, wanted, jobs, log=None):
+    def all(self, simulations, jobs, log=None):
         with concurrent.futures.ThreadPoolExecutor(jobs) as pool:
-            return dict(zip([p.key for p in wanted],
-                            pool.map(lambda play: self.report(play, log), wanted)))
+            return dict(zip([p.key for p in simulations],
+                            pool.map(lambda simulation: self.report(simulation, log), simulations)))
--- a/bench/days/shape.py
+++ b/bench/days/shape.py
@@ -1,5 +1,5 @@
-"""Writes a deployment of another shape from a site file, so that days can be played on deployments that
-no site file describes:
+"""Derives a deployment of another shape from a site file, to simulate days on deployments that no
+site file describes:
 
     bench/days/shape.py SITE FOLDER three|single|tight
 
--- a/bench/paired.py
+++ b/bench/paired.py
@@ -1,12 +1,13 @@
-"""Compares two checkouts on days of the users' bench, pair by pair of equal day and seed:
+"""Compares two checkouts by simulated days of an external bench, in pairs of equal day and seed:
 
     ./dev bench paired BENCH BEFORE AFTER SITE... --seeds 101-108 [--days trouble-1,scale-2]
         [--cpu] [--jobs N] [--keep FOLDER] [--plot FILE]
 
-BEFORE and AFTER are checkouts. Prints the mean difference of each figure with a bootstrap interval of 95
-in 100 for every deployment, and how each kind of request fared. Without --cpu no processor time is charged,
-and a play mostly repeats. Reports are kept in FOLDER, by the sources that they were played with. Exits with 1
-where a play broke a rule or could not be played."""
+BEFORE and AFTER are checkouts. For every deployment, prints the mean difference of each figure with
+its 95 % bootstrap interval, and the outcomes of each class of requests. Without --cpu no processor
+time is charged, and a simulation mostly gives the same result again. Reports are kept in FOLDER, in
+a directory for each version of the sources. Exits with 1 if a simulation broke a rule or failed to
+run."""
 import argparse
 import os
 import random
@@ -18,14 +19,15 @@
 import plays
 
 RESAMPLES = 2000
-TAIL = 0.025  # of the resamples, cut off at each end
+TAIL = 0.025  # share of the resamples outside the interval on each side
 
-# Figures told in words only: seconds in which groups stood still, and host-seconds without a group.
-STOOD_STILL = re.compile(r"groups stood still for ([\d.]+) s")
+# Figures that the report gives only as text: seconds in which groups were stalled, and host-seconds
+# without a group.
+STALLED = re.compile(r"groups stood still for ([\d.]+) s")
 STRANDED = re.compile(r"([\d.]+) server-seconds served nobody")
 
 
-def told(report, pattern):
+def hint_value(report, pattern):
     found = pattern.search("\n".join(report["hints"]))
     return float(found.group(1)) if found else 0.0
 
@@ -46,13 +48,13 @@
     "prices": price,
     "refused again": lambda r: price(r, "worth refused again"),
     "refused": lambda r: r["refused"],
-    "group downtime, s": lambda r: told(r, STOOD_STILL),
-    "stranded, host s": lambda r: told(r, STRANDED),
+    "group downtime, s": lambda r: hint_value(r, STALLED),
+    "stranded, host s": lambda r: hint_value(r, STRANDED),
 }
 
 
 def interval(differences):
-    """Mean, and its bootstrap interval, with equal draws for equal input."""
+    """Mean and its bootstrap interval. A fixed seed gives equal results for equal input."""
     draw = random.Random(1)
     means = sorted(statistics.fmean(draw.choices(differences, k=len(differences)))
                    for _ in range(RESAMPLES))
@@ -82,7 +84,7 @@
         print("%-18s %8.3f %8.3f %+8.3f  %+.3f to %+.3f" % (
             name, statistics.fmean(before), statistics.fmean(after), mean, low, high))
     before, after = [class_shares([p[i] for p in pairs]) for i in (0, 1)]
-    print("%-24s %7s  in aim, late, refused, failed (parts of those owed; before > after)"
+    print("%-24s %7s  in aim, late, refused, failed (shares of those owed; before > after)"
           % ("class", "owed"))
     for name, row in before.items():
         print("%-24s %7d  %s" % (name, row[0], "  ".join(
@@ -107,7 +109,7 @@
     figure.savefig(path)
 
 
-def broken(reports):
+def count_broken(reports):
     count = 0
     for key, report in reports.items():
         if report is None or report["breaks"] or report["fault"]:
@@ -130,23 +132,23 @@
     parser.add_argument("--plot")
     parser.add_argument("--why", default="paired comparison")
     args = parser.parse_args()
-    sides = []
+    simulators = []
     for checkout in (args.before, args.after):
         plays.build(args.bench, checkout)
-        sides.append(plays.Player(args.bench, checkout, args.keep, args.cpu, args.why))
-    wanted = plays.plays(args.sites, args.days, args.seeds)
-    reports = [side.all(wanted, args.jobs) for side in sides]
+        simulators.append(plays.Simulator(args.bench, checkout, args.keep, args.cpu, args.why))
+    simulations = plays.plays(args.sites, args.days, args.seeds)
+    reports = [simulator.all(simulations, args.jobs) for simulator in simulators]
     by_deployment = {}
-    for play in wanted:
-        pair = [side[play.key] for side in reports]
+    for simulation in simulations:
+        pair = [simulator[simulation.key] for simulator in reports]
         if None not in pair:
-            by_deployment.setdefault(play.deployment, []).append(pair)
+            by_deployment.setdefault(simulation.deployment, []).append(pair)
     for deployment, pairs in by_deployment.items():
         show(deployment, pairs)
     if args.plot:
         plot(args.plot, by_deployment)
     print()
-    sys.exit(1 if broken(reports[0]) + broken(reports[1]) else 0)
+    sys.exit(1 if count_broken(reports[0]) + count_broken(reports[1]) else 0)
 
 
 if __name__ == "__main__":
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,4 +1,5 @@
-"""The request path: added latency, throughput a core, and each policy against its baseline."""
+"""Benches of the request path: added latency, throughput per core, and each policy against its
+baseline."""
 import concurrent.futures
 import json
 import subprocess
@@ -23,7 +24,7 @@
 
 
 def latency_bench():
-    """Added latency over calling the stand-in directly, in one run, medians of three."""
+    """Latency added to that of direct calls to a stand-in engine; medians of three runs."""
     rows = []
     with Cluster(entries=1, domains=(4,), services=0, engine={"token-ms": 10, "prefill-ms": 5},
                  threads=2, settings={"limits/enabled": False, "routing/group_slots": 1000}) as c:
@@ -33,7 +34,7 @@
         for rate in (20, 60, 120):
             direct, through = [], []
             for _ in range(3):
-                # A direct call needs the fence that the engine holds.
+                # The direct calls use an engine of their own, which checks no fence.
                 through.append(load(c, rate=rate, seconds=4, tokens=40))
                 direct.append(direct_load(c, lead, rate))
             def pick(runs, what, q):
@@ -47,7 +48,7 @@
 
 
 def direct_load(c, lead, rate):
-    # An engine that checks no fence takes direct calls: a second stand-in of the same pace.
+    # Direct calls carry no fence: they need a second stand-in, as fast, that checks none.
     if "direct" not in c.engines:
         c.fence = False
         c.start_engine("direct")
@@ -85,11 +86,12 @@
                          out["first_ms"]["p50"], out["first_ms"]["p99"], tokens / max(cpu[0], .01),
                          tokens / max(cpu[1], .01)])
     table("throughput, 1 entry process of 4 threads (load, stand-ins and system share 8 cores)",
-          ["what", "asked", "done", "p50 ms", "p99 ms", "per entry core", "per agent core"], rows)
+          ["what", "sent", "completed", "p50 ms", "p99 ms", "per entry core", "per agent core"],
+          rows)
 
 
 def routing_bench():
-    """Each policy against its baselines, one cluster, one load; medians of three."""
+    """Each routing policy against its baselines, on one cluster; medians of three runs."""
     rows = []
     with Cluster(entries=2, domains=(4,) * 6, services=0, pooled=True,
                  engine={"token-ms": 4, "prefill-ms": 60, "cache": 8},
@@ -129,7 +131,7 @@
 
 
 def limits_bench():
-    """A large customer at ten times its share against a small one."""
+    """Service of a small customer while a large one sends ten times its share."""
     rows = []
     with Cluster(entries=2, domains=(4, 4), services=0, pooled=True,
                  engine={"token-ms": 4, "prefill-ms": 10},
@@ -143,19 +145,19 @@
                 ("limits off, fair queue", {"limits/enabled": False}, 300)]:
             wait_for(lambda: c.set_many(settings), "settings")
             with concurrent.futures.ThreadPoolExecutor(2) as pool:
-                loud = pool.submit(load, c, key="key-desk", rate=big, seconds=6, tokens=20,
+                large = pool.submit(load, c, key="key-desk", rate=big, seconds=6, tokens=20,
                                    prompt="big", deadline_ms=3000) if big else None
                 time.sleep(1)
                 small = load(c, rate=8, seconds=4, tokens=20, prompt="small")
-                loud = loud.result() if loud else {"good": 0, "sent": 0}
+                large = large.result() if large else {"good": 0, "sent": 0}
             rows.append([name, small["good"], small["sent"], small["first_ms"]["p95"],
-                         small["whole_ms"]["p95"], loud["good"], loud["sent"]])
-    table("a large customer at 10x its share", ["", "small whole", "of", "small first p95 ms",
-                                               "small whole p95 ms", "large whole", "of"], rows)
+                         small["whole_ms"]["p95"], large["good"], large["sent"]])
+    table("a large customer at 10x its share", ["", "small completed", "of", "small first p95 ms",
+                                               "small whole p95 ms", "large completed", "of"], rows)
 
 
 def overload_bench():
-    """Goodput from 0.5x to 3x of capacity, and the affordability class at 2x."""
+    """Goodput at 0.5 to 3 times the capacity, with and without early refusal."""
     rows = []
     tokens, slots, groups, token_ms = 20, 4, 2, 4
     capacity = groups * slots / ((tokens * token_ms + 10) / 1000)
@@ -173,11 +175,11 @@
                              out["good"] / 6, out["good"] / 6 / capacity, out["first_ms"]["p95"],
                              str(out["statuses"])])
     table("goodput against %.0f requests/s of capacity, deadline 1 s" % capacity,
-          ["", "load", "whole/s", "of capacity", "first p95 ms", "statuses"], rows)
+          ["", "load", "completed/s", "of capacity", "first p95 ms", "statuses"], rows)
 
 
 def storm_bench():
-    """Retries when a whole domain goes dark and returns, and when all entry hosts restart."""
+    """Retries while a whole fabric domain is paused, and when all entry hosts restart."""
     rows = []
     for budget in (0.1, 10):
         with Cluster(entries=2, domains=(4, 4, 4), services=0, threads=1,
@@ -190,16 +192,16 @@
             with concurrent.futures.ThreadPoolExecutor(1) as pool:
                 job = pool.submit(load, c, rate=60, seconds=14, tokens=40, threads=1)
                 time.sleep(3)
-                dark = [n for n, d in c.domain_of.items() if d == "fabric-a"]
-                for name in dark:
+                domain_hosts = [n for n, d in c.domain_of.items() if d == "fabric-a"]
+                for name in domain_hosts:
                     c.processes[name].pause()
                     c.processes["engine-" + name].pause()
                 time.sleep(4)
-                for name in dark:
-                    c.processes["engine-" + name].go_on()
-                    c.processes[name].go_on()
+                for name in domain_hosts:
+                    c.processes["engine-" + name].resume()
+                    c.processes[name].resume()
                 out = job.result()
-            rows.append(["domain dark 4 s", budget, out["good"], out["sent"],
+            rows.append(["domain paused for 4 s", budget, out["good"], out["sent"],
                          (started(c) - before) / out["sent"], str(out["statuses"])])
             before = started(c)
             for n in (1, 2):
@@ -208,12 +210,12 @@
             began = time.monotonic()
             c.wait_models()
             rows.append(["all entry hosts restart", budget, "-", "-", "-",
-                         "serving again after %.2f s" % (time.monotonic() - began)])
-    table("retries", ["fault", "budget", "whole", "of", "attempts a request", "statuses"], rows)
+                         "served again after %.2f s" % (time.monotonic() - began)])
+    table("retries", ["fault", "budget", "completed", "of", "attempts a request", "statuses"], rows)
 
 
 def streams_bench(count=5000):
-    """Memory with thousands of open streams."""
+    """Memory of an entry process with thousands of open streams."""
     rows = []
     with Cluster(entries=1, domains=(4,) * 4, services=0, threads=4, pooled=False,
                  engine={"token-ms": 400, "prefill-ms": 5},
@@ -230,8 +232,9 @@
             rows.append([count, usage(entry)[1]])
             out = job.result()
         rows.append([0, usage(entry)[1]])
-        rows.append(["whole: %d of %d" % (out["good"], out["sent"]), out["worst_gap_ms"]["p95"]])
-    table("entry process with open streams (last row: worst gap p95 ms, pace 400 ms)",
+        rows.append(["completed: %d of %d" % (out["good"], out["sent"]),
+                     out["worst_gap_ms"]["p95"]])
+    table("entry process with open streams (last row: worst gap p95 ms, 400 ms a token)",
           ["streams", "resident MB"], rows)
 
 
--- a/tests/faults/checker.py
+++ b/tests/faults/checker.py
@@ -1,5 +1,5 @@
-"""Follows callers, executions, gates and settings from outside, and judges the promises from
-those records alone."""
+"""Runs callers and an operator against a cluster, records what they and the stand-ins observe, and
+checks the guarantees of the system from these records alone."""
 import json
 import threading
 import time
@@ -7,18 +7,18 @@
 from cluster import KEYS, digest, expected_text, http, stream_text, wait_for
 
 ECHO_TIMEOUT_MS = 1500
-# Work that was forwarded just before the gate closed reaches the engine a little later.
+# A request that was forwarded just before the gate closed reaches the engine a little later.
 FORWARD_SLACK_MS = 400
 
 
 class Records:
-    """What happened, as seen by callers, stand-ins and whoever injected the faults."""
+    """What callers, the operator and the injector of the faults observed."""
 
     def __init__(self):
         self.completions = []  # (prompt, tokens, status, outcome, text, whole)
         self.saves = []        # (quote, key, status, outcome)
-        self.downs = []        # [host, from_ms, to_ms or None]
-        self.settings = []     # (what, entry, status)
+        self.outages = []      # [host, from_ms, to_ms or None]
+        self.settings = []     # ("old" or "new" key, entry, status)
         self.lock = threading.Lock()
 
     def add(self, name, row):
@@ -26,8 +26,8 @@
             getattr(self, name).append(row)
 
 
-class Follower:
-    """Callers and an operator that go on through every fault."""
+class Traffic:
+    """Callers and an operator that send requests until stop(), through every fault."""
 
     def __init__(self, cluster, seed=1, pace=0.05):
         self.cluster, self.records, self.pace = cluster, Records(), pace
@@ -46,7 +46,7 @@
         self.stopping = True
         for thread in self.threads:
             thread.join(90)
-            assert not thread.is_alive(), "a caller never got an answer"
+            assert not thread.is_alive(), "a caller got no response within 90 s"
 
     def entry(self, n):
         names = sorted(self.cluster.entry_http)
@@ -76,7 +76,7 @@
         while not self.stopping:
             n += 1
             quote, key = "q%d-%d" % (self.seed, n), "k%d-%d" % (self.seed, n)
-            for attempt in range(3):  # a client that asks again, through another entry host
+            for attempt in range(3):  # retries through another entry host
                 status, headers, _ = self.cluster.save(quote, key if n % 4 else None,
                                                        self.entry(n + attempt))
                 self.records.add("saves", (quote, key, status,
@@ -87,7 +87,8 @@
             time.sleep(self.pace)
 
     def settings(self):
-        """Rotates a customer's key: once in force, the old key is good nowhere."""
+        """Rotates a customer's key. Once the change is in force, no entry host may accept the old
+        key or reject the new one."""
         n, old = 0, None
         while not self.stopping:
             n += 1
@@ -99,7 +100,7 @@
                     done = self.cluster.set_many({"customers/probe/key_digest": digest(new)},
                                                  order=order)
                 except AssertionError:
-                    order += "x"  # lost against another change
+                    order += "x"  # rejected because of a conflicting change
                 time.sleep(0.05)
             if done is None:
                 return
@@ -113,25 +114,25 @@
             old = new
             time.sleep(self.pace * 4)
 
-    def down(self, host):
-        self.records.add("downs", [host, time.time() * 1000, None])
+    def host_down(self, host):
+        self.records.add("outages", [host, time.time() * 1000, None])
 
-    def up(self, host):
-        for row in self.records.downs:
+    def host_up(self, host):
+        for row in self.records.outages:
             if row[0] == host and row[2] is None:
                 row[2] = time.time() * 1000
 
 
 def violations(records, executions, group_members, counts):
-    """Every broken promise that the records show. `executions` are (ms, host, epoch),
-    `group_members` gives the hosts of each epoch, `counts` how often each quote was saved."""
+    """Every violation that the records show. `executions` are (ms, host, epoch), `group_members`
+    gives the hosts of each epoch, `counts` how often each quote was saved."""
     out = []
     for prompt, tokens, status, outcome, text, whole in records.completions:
         want = expected_text(prompt, tokens)
         if whole and text != want:
-            out.append("the answer to %s is called whole and is not" % prompt)
+            out.append("the response to %s was reported complete and is not" % prompt)
         if not want.startswith(text):
-            out.append("the answer to %s has foreign parts" % prompt)
+            out.append("the response to %s contains text that was not generated for it" % prompt)
     by_quote = {}
     for quote, _, status, outcome in records.saves:
         by_quote.setdefault(quote, []).append((status, outcome))
@@ -140,15 +141,15 @@
         if count > 1:
             out.append("%s ran %d times" % (quote, count))
         if any(status == 200 for status, _ in answers) and count != 1:
-            out.append("%s was answered and ran %d times" % (quote, count))
+            out.append("%s was confirmed and ran %d times" % (quote, count))
         if all(outcome == "not-run" for _, outcome in answers) and count != 0:
-            out.append("%s was called not run and ran" % quote)
+            out.append("%s was reported as not run and ran" % quote)
     for ms, host, epoch in executions:
         for member in group_members.get(epoch, []):
-            for name, since, until in records.downs:
-                gone = since + ECHO_TIMEOUT_MS + FORWARD_SLACK_MS < ms < (until or 1e18)
-                if name == member and gone:
-                    out.append("group %d served %.0f ms after %s went down" %
+            for name, since, until in records.outages:
+                past_timeout = since + ECHO_TIMEOUT_MS + FORWARD_SLACK_MS < ms < (until or 1e18)
+                if name == member and past_timeout:
+                    out.append("group %d served %.0f ms after its member %s was lost" %
                                (epoch, ms - since, member))
     span = {}
     for ms, host, epoch in executions:
@@ -158,12 +159,12 @@
         for two in span:
             shared = set(group_members.get(one, [])) & set(group_members.get(two, []))
             if one < two and shared and span[one][1] >= span[two][0]:
-                out.append("%s served in groups %d and %d at once" % (shared, one, two))
+                out.append("%s served in groups %d and %d at the same time" % (shared, one, two))
     for what, entry, status in records.settings:
         if what == "old" and status == 200:
-            out.append("entry %d took a key after its removal was in force" % entry)
+            out.append("entry %d accepted a key after its removal was in force" % entry)
         if what == "new" and status == 401:
-            out.append("entry %d refused a key after it was in force" % entry)
+            out.append("entry %d rejected a key after it was in force" % entry)
     return out
 
 
--- a/tests/faults/cluster.py
+++ b/tests/faults/cluster.py
@@ -1,4 +1,5 @@
-"""Starts the real processes on loopback, and drives and observes them for tests and the demo."""
+"""Runs liftweir-control, liftweir-entry, liftweir-agent and the stand-ins as processes on loopback,
+and drives and observes them for tests, benches and the demo."""
 import hashlib
 import json
 import os
@@ -26,17 +27,17 @@
     return hashlib.sha256(text.encode()).hexdigest()
 
 
-# Below the range from which the kernel serves whoever asks for any port: what a killed process
-# leaves is not given away before it is started again.
+# Ports below the ephemeral range, so that the kernel gives the port of a killed process to no other
+# socket before that process starts again.
 with open("/proc/sys/net/ipv4/ip_local_port_range") as _range:
     PORTS = range(10240, int(_range.read().split()[0]))
 PORTS_AT_ONCE = 64
-_blocks = []  # sockets whose names keep ports for this process, as long as it lives
-_free = []
+_port_locks = []  # open sockets whose names reserve blocks of ports until this process exits
+_free_ports = []
 
 
 def reserve_ports():
-    """Takes a block of ports that no other test process of this machine has."""
+    """Reserves a block of ports that no other test process of this machine uses."""
     starts = list(PORTS[:-PORTS_AT_ONCE:PORTS_AT_ONCE])
     random.SystemRandom().shuffle(starts)
     for start in starts:
@@ -46,18 +47,18 @@
         except OSError:
             keeper.close()
             continue
-        _blocks.append(keeper)
-        _free.extend(range(start, start + PORTS_AT_ONCE))
+        _port_locks.append(keeper)
+        _free_ports.extend(range(start, start + PORTS_AT_ONCE))
         return
-    raise AssertionError("no ports are left for tests")
+    raise AssertionError("all test ports of this machine are in use")
 
 
 def free_port():
-    """A port that is free for TCP and UDP, and given out once only on this machine."""
+    """A port that is free for TCP and UDP. Concurrent test processes never get the same one."""
     while True:
-        if not _free:
+        if not _free_ports:
             reserve_ports()
-        port = _free.pop()
+        port = _free_ports.pop()
         with socket.socket() as tcp, socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp:
             try:
                 tcp.bind(("127.0.0.1", port))
@@ -72,7 +73,7 @@
 
 
 def wait_for(condition, what, seconds=30.0, every=0.05):
-    """Polls until the condition is true and returns its value; fails loudly at the bound."""
+    """Polls until the condition is true and returns its value. Raises AssertionError on timeout."""
     end = time.monotonic() + seconds
     while True:
         value = condition()
@@ -84,7 +85,7 @@
 
 
 def http(method, url, body=None, headers=None, timeout=30):
-    """Returns (status, headers, body) and (0, {}, reason) where nothing answered."""
+    """Returns (status, headers, body), or (0, {}, reason) without a complete response."""
     data = None if body is None else (body if isinstance(body, bytes) else json.dumps(body).encode())
     request = urllib.request.Request(url, data=data, method=method, headers=headers or {})
     if body is not None and not isinstance(body, bytes):
@@ -97,7 +98,7 @@
         return error.code, dict(error.headers), error.read()
     except (OSError, ValueError, urllib.error.URLError, EOFError) as error:
         return 0, {}, str(error).encode()
-    except Exception as error:  # http.client raises many kinds on a cut answer
+    except Exception as error:  # http.client raises many types on a truncated response
         return 0, {}, repr(error).encode()
 
 
@@ -134,7 +135,7 @@
     def pause(self):
         self.signal(signal.SIGSTOP)
 
-    def go_on(self):
+    def resume(self):
         self.signal(signal.SIGCONT)
 
     def exit_code(self, seconds=30):
@@ -142,7 +143,7 @@
 
 
 class Cluster:
-    """A whole system. `domains` gives the engine hosts of each fabric domain."""
+    """A whole system. `domains` gives the number of engine hosts of each fabric domain."""
 
     def __init__(self, controls=3, entries=2, domains=(4, 4), services=2, engine=None, settings=None,
                  threads=1, accelerators=8, folder=None, start=True, fence=True, proxied=False,
@@ -156,13 +157,13 @@
         self.control_http = {i + 1: address() for i in range(controls)}
         self.entry_http, self.entry_metrics = {}, {}
         self.engines, self.services, self.domain_of = {}, {}, {}
-        self.link_via = {}  # name -> {node: address}, to put a fault proxy between
+        self.link_via = {}  # name -> {node: address of the fault proxy before that control host}
         self.entries, self.domains, self.service_count = entries, domains, services
         self.settings = settings or {}
-        self.pooled = pooled  # all stand-ins of engines in one process
+        self.pooled = pooled  # whether all stand-in engines run in one process
         self.agent_addresses = {}
-        self.engine_ends = []  # (when, name) of engines that ended by themselves
-        self.restart_engines = restart_engines  # seconds after which an ended engine starts again
+        self.engine_exits = []  # (time, name) of engines that exited by themselves
+        self.restart_engines = restart_engines  # restart delay in seconds of an engine that exited
         self.stopping = threading.Event()
         self.keeper = None
         if proxied:
@@ -189,7 +190,7 @@
         return [link for link in self.proxy.names()
                 if name in link.split(">")]
 
-    def cut(self, name, mode="silent"):
+    def partition(self, name, mode="silent"):
         for link in self.links(name):
             self.proxy.set(link, mode)
 
@@ -262,7 +263,7 @@
         return self.spawn(name, "liftweir-agent", ["--config", path])
 
     def advertised(self, name, listen, ping):
-        """Addresses of the fault proxy before an agent, if there is one."""
+        """Settings that advertise the fault proxy before an agent, if there is one."""
         if self.proxy is None:
             return {}
         return {"advertise": self.proxy.tcp(name, listen), "advertise_ping":
@@ -293,18 +294,18 @@
             self.start_entry(i + 1)
         self.first_settings()
         if self.restart_engines is not None:
-            self.keeper = threading.Thread(target=self.keep_engines, daemon=True)
+            self.keeper = threading.Thread(target=self.restart_exited_engines, daemon=True)
             self.keeper.start()
 
-    def keep_engines(self):
-        """What the users' service manager does with an engine that ends."""
+    def restart_exited_engines(self):
+        """Restarts engines that exit, as a service manager does."""
         due = {}
         while not self.stopping.wait(0.02):
             for name, process in list(self.processes.items()):
                 if not name.startswith("engine-") or process.popen.poll() is None:
                     continue
                 if name not in due:
-                    self.engine_ends.append((time.time(), name))
+                    self.engine_exits.append((time.time(), name))
                     due[name] = time.monotonic() + self.restart_engines
                 elif time.monotonic() >= due[name]:
                     del due[name]
@@ -348,7 +349,7 @@
         return json.loads(body)
 
     def rpc(self, method, params=None, timeout=10):
-        """Result of the leading control host, or None while none leads."""
+        """The result from the control host that leads, or None while there is no leader."""
         for node in self.control_http:
             answer = self.rpc_at(node, method, params, timeout)
             if "result" in answer:
@@ -366,7 +367,7 @@
                                          "base": now["version"], "changes": rows})
 
     def set(self, key, value, path=SITE):
-        """Sets one key; asks again where another operator was first."""
+        """Sets one key, and retries after a conflict with another operator's change."""
         def once():
             try:
                 return self.set_many({key: value}, path)
@@ -391,7 +392,7 @@
                         "%d groups serve; groups: %s" % (count, self.groups()), seconds)
 
     def spares(self, domain):
-        """Hosts of a domain that a repair may take."""
+        """Hosts of a domain that are free for the repair of a group."""
         return [h["host"] for h in self.rpc("hosts.list") or [] if h["domain"] == domain and
                 h["role"] == "engine" and h["group"] == 0 and not h["silent"]]
 
@@ -429,13 +430,13 @@
         return http("POST", self.url(entry) + "/services/quotes" + path, {"id": quote}, head, timeout)
 
     def wait_models(self, seconds=40):
-        """Every entry host has an endpoint for the model and one for the service."""
+        """Waits until every entry host serves a completion."""
         for index in self.entry_http:
             wait_for(lambda: self.complete("ready?", 1, index)[0] == 200,
                      "entry %d completes" % index, seconds, 0.1)
 
     def executions(self):
-        """How often each thing was saved, over all stand-ins of the service."""
+        """How often each id was saved, over all stand-ins of the service."""
         total = {}
         for name, where in self.services.items():
             _, _, body = http("GET", "http://%s/counts" % where)
@@ -445,13 +446,13 @@
 
 
 def expected_text(prompt, tokens):
-    """What the stand-in for an engine generates."""
+    """The text that the stand-in engine generates for a prompt."""
     start = zlib.crc32(prompt.encode())
     return "".join("w%d " % ((start + 7919 * i) % 100000) for i in range(tokens))
 
 
 def stream_text(body):
-    """(text, whole) of a streamed answer."""
+    """(text, complete) of a streamed response."""
     text, whole = "", False
     for line in body.decode().split("\n"):
         if line == "data: [DONE]":
--- a/tests/faults/conftest.py
+++ b/tests/faults/conftest.py
@@ -1,3 +1,4 @@
+"""Applies KNOWN-RED.txt, and gathers evidence of the cluster when a test fails."""
 import os
 import sys
 
@@ -20,7 +21,7 @@
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Also for a test that is known to be red: of its failure pytest prints nothing."""
+    """Prints the evidence of every failure. Pytest prints nothing of a test that may fail."""
     for name, text in GATHERED:
         terminalreporter.section("evidence of " + name)
         terminalreporter.write_line(text)
--- a/tests/faults/demo.py
+++ b/tests/faults/demo.py
@@ -1,4 +1,5 @@
-"""Shows the whole path on loopback: forms groups, serves, loses a host, repairs, explains itself."""
+"""Demonstrates the system on loopback: forms groups, serves requests, loses a host, repairs the
+group and prints the time line."""
 import shutil
 import sys
 import time
@@ -20,21 +21,22 @@
 
     cluster = Cluster(domains=(5, 4), engine={"load-ms": 400, "token-ms": 10})
     try:
-        step("started 3 control, 2 entry, 11 agents, 11 stand-ins", "loopback, own data folders")
+        step("started 3 control, 2 entry, 11 agents, 11 stand-ins",
+             "loopback, separate data directories")
         groups = cluster.wait_serving(2)
         for group in groups:
             step("group %d serves" % group["group"], ",".join(group["members"]))
         cluster.wait_models()
         status, headers, body = cluster.complete("summarise borehole 17", 12)
         text, whole = stream_text(body)
-        step("a caller's streamed completion", "status %d, %d words, whole: %s" %
+        step("a caller's streamed completion", "status %d, %d words, complete: %s" %
              (status, len(text.split()), whole))
         status, headers, body = wait_for(
             lambda: (lambda a: a if a[0] == 200 else None)(cluster.save("quote-1", "idem-1")),
             "a quote is saved")
         step("a quote is saved once", "status %d %s" % (status, body.decode()))
         status, headers, body = cluster.save("quote-1", "idem-1", entry=2)
-        step("the same quote again, through the other entry host",
+        step("a retry with the same key at the other entry host",
              "status %d, replayed: %s, executions: %d" %
              (status, headers.get("Liftweir-Replayed"), cluster.executions()["quote-1"]))
         victim = groups[0]["members"][-1]
@@ -42,14 +44,16 @@
         cluster.processes[victim].kill()
         step("killed the agent on %s" % victim, "a member of group %d" % groups[0]["group"])
         wait_for(lambda: groups[0]["group"] not in [g["group"] for g in cluster.serving()],
-                 "the group stops")
-        step("the group without it has stopped", "after %.1f s" % (time.monotonic() - killed))
+                 "the group no longer serves")
+        step("its group no longer serves", "after %.1f s" % (time.monotonic() - killed))
         wait_for(lambda: len(cluster.serving()) == 2 and
-                 all(victim not in g["members"] for g in cluster.serving()), "the group is rebuilt")
+                 all(victim not in g["members"] for g in cluster.serving()),
+                 "the group is re-formed")
         now = [g for g in cluster.serving() if g["group"] not in [o["group"] for o in groups]][0]
-        step("rebuilt with a spare host as group %d" % now["group"], ",".join(now["members"]))
+        step("re-formed with a spare host as group %d" % now["group"], ",".join(now["members"]))
         status, _, body = cluster.complete("summarise borehole 18", 12)
-        step("a completion after the repair", "status %d, whole: %s" % (status, stream_text(body)[1]))
+        step("a completion after the repair", "status %d, complete: %s" %
+             (status, stream_text(body)[1]))
         say("\nThe merged time line of all processes (liftweirctl timeline):\n")
         for line in cluster.ctl("timeline").stdout.splitlines()[-34:]:
             say("  " + line[:150])
@@ -59,7 +63,7 @@
     say("\n%-8s %-52s %s" % ("time", "what happened", "result"))
     for row in rows:
         say("%6.1f s  %-52s %s" % row)
-    say("\nAll processes have ended.")
+    say("\nAll processes have exited.")
     return 0
 
 
--- a/tests/faults/evidence.py
+++ b/tests/faults/evidence.py
@@ -1,18 +1,18 @@
-"""What is kept of a test that failed: a rare failure is traced from one run or not at all."""
+"""Gathers the state of the cluster when a test fails, as a rare failure may not happen again."""
 import json
 import os
 
 
-def ask(what):
-    """The answer, or why there is none: gathering must not hide the failure it is about."""
+def result_or_error(what):
+    """The result of `what`, or its error as text: gathering must not hide the failed test."""
     try:
         return what()
-    except Exception as error:  # whatever the fault of the test has done to the cluster
+    except Exception as error:  # the fault of the test may have broken any part of the cluster
         return repr(error)
 
 
-def ended(cluster):
-    """(name, exit code, last line of its log) of every process that does not run."""
+def exited_processes(cluster):
+    """(name, exit code, last line of its log) of every process that has exited."""
     out = []
     for name, process in cluster.processes.items():
         if process.popen.poll() is not None:
@@ -22,22 +22,23 @@
 
 
 def gather(cluster, test):
-    """Writes all that is known of the cluster beside its logs, and returns the gist as text."""
-    groups = ask(cluster.groups)
+    """Writes the state of the cluster to a file next to its logs, and returns a summary as text."""
+    groups = result_or_error(cluster.groups)
     found = {
-        "ended": ask(lambda: ended(cluster)),
+        "ended": result_or_error(lambda: exited_processes(cluster)),
         "groups": groups,
-        "hosts": ask(lambda: cluster.rpc("hosts.list")),
-        "decisions": ask(lambda: [cluster.rpc("groups.explain", {"group": g["group"]})
+        "hosts": result_or_error(lambda: cluster.rpc("hosts.list")),
+        "decisions": result_or_error(lambda: [cluster.rpc("groups.explain", {"group": g["group"]})
                                   for g in groups]),
-        "status": ask(lambda: cluster.rpc("status")),
-        "proxy": ask(lambda: cluster.proxy and {name: mode for name, mode in
+        "status": result_or_error(lambda: cluster.rpc("status")),
+        "proxy": result_or_error(lambda: cluster.proxy and {name: mode for name, mode in
                                                 cluster.proxy.modes.items() if mode != "pass"}),
-        "timeline": ask(lambda: cluster.ctl("timeline", "--json", check=False).stdout.splitlines()),
+        "timeline": result_or_error(
+            lambda: cluster.ctl("timeline", "--json", check=False).stdout.splitlines()),
     }
     path = os.path.join(cluster.folder, "evidence-%s.json" % test)
     with open(path, "w") as out:
         json.dump(found, out, indent=1)
-    return "\n".join(["%s; logs beside it" % path] + [
+    return "\n".join(["%s; logs in the same directory" % path] + [
         "%s: %s" % (name, json.dumps(found[name])) for name in found if name != "timeline"] +
-        ["the last of the time line:"] + found["timeline"][-40:])
+        ["end of the time line:"] + found["timeline"][-40:])
--- a/tests/faults/proxy.py
+++ b/tests/faults/proxy.py
@@ -1,5 +1,7 @@
-"""A fault-injecting proxy for TCP and UDP: each named link can be cut, silenced one or both ways,
-delayed, reordered, doubled or truncated while it runs."""
+"""A fault-injecting proxy for TCP and UDP. The mode of each named link can change at any time:
+
+refuse: closes connections; silent, silent_out, silent_in: drops data in both directions or in one;
+slow: delays data; and for datagrams double, reorder (a random delay) and truncate."""
 import asyncio
 import random
 import threading
@@ -8,12 +10,12 @@
          "truncate")
 
 
-class _Udp(asyncio.DatagramProtocol):
-    """Sits before one agent's ping socket; remembers who asked, to bring the echo back."""
+class _UdpRelay(asyncio.DatagramProtocol):
+    """Relays datagrams to the ping socket of an agent, and its replies to their senders."""
 
     def __init__(self, proxy, name, target):
         self.proxy, self.name, self.target = proxy, name, target
-        self.back = {}
+        self.reply_transports = {}
 
     def connection_made(self, transport):
         self.transport = transport
@@ -31,19 +33,20 @@
             await asyncio.sleep(self.proxy.random.random() * 0.2)
         if mode == "truncate":
             data = data[:len(data) // 2]
-        if sender not in self.back:
+        if sender not in self.reply_transports:
             loop = asyncio.get_event_loop()
             outer = self
 
-            class Back(asyncio.DatagramProtocol):
+            class ReplyProtocol(asyncio.DatagramProtocol):
                 def datagram_received(self, answer, _):
                     if outer.proxy.mode(outer.name) not in ("silent", "silent_in", "refuse"):
                         outer.transport.sendto(answer, sender)
 
-            transport, _ = await loop.create_datagram_endpoint(Back, remote_addr=self.target)
-            self.back[sender] = transport
+            transport, _ = await loop.create_datagram_endpoint(ReplyProtocol,
+                                                               remote_addr=self.target)
+            self.reply_transports[sender] = transport
         for _ in range(2 if mode == "double" else 1):
-            self.back[sender].sendto(data)
+            self.reply_transports[sender].sendto(data)
 
 
 class FaultProxy:
@@ -53,7 +56,7 @@
         self.loop = asyncio.new_event_loop()
         self.thread = threading.Thread(target=self.loop.run_forever, daemon=True)
         self.thread.start()
-        self.known, self.servers = {}, []
+        self.addresses, self.servers = {}, []
 
     def _run(self, coroutine):
         return asyncio.run_coroutine_threadsafe(coroutine, self.loop).result(10)
@@ -73,7 +76,7 @@
     def heal(self):
         for name in self.modes:
             if self.modes[name] in ("silent", "silent_in", "silent_out"):
-                # What was swallowed is gone: the connection can not go on where it was.
+                # A connection that lost data can not resume, so it is closed.
                 self.loop.call_soon_threadsafe(self._close, name)
             self.modes[name] = "pass"
 
@@ -83,33 +86,33 @@
         self.writers[name] = []
 
     def tcp(self, name, target):
-        if ("tcp", name) not in self.known:
+        if ("tcp", name) not in self.addresses:
             self.modes.setdefault(name, "pass")
             host, port = target.split(":")
             server = self._run(asyncio.start_server(
                 lambda r, w: self._serve(name, host, int(port), r, w), "127.0.0.1", 0))
-            self.known["tcp", name] = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
-        return self.known["tcp", name]
+            self.addresses["tcp", name] = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
+        return self.addresses["tcp", name]
 
     def tcp_at(self, name, listen, target):
-        """The same at a given address, before a process that is dialed by it."""
+        """Like tcp(), at a given address: the one at which other processes dial `target`."""
         self.modes.setdefault(name, "pass")
         (near, near_port), (host, port) = listen.split(":"), target.split(":")
         self.servers.append(self._run(asyncio.start_server(
             lambda r, w: self._serve(name, host, int(port), r, w), near, int(near_port))))
 
     def udp(self, name, target):
-        if ("udp", name) not in self.known:
+        if ("udp", name) not in self.addresses:
             self.modes.setdefault(name, "pass")
             host, port = target.split(":")
 
             async def bind():
                 transport, _ = await self.loop.create_datagram_endpoint(
-                    lambda: _Udp(self, name, (host, int(port))), local_addr=("127.0.0.1", 0))
+                    lambda: _UdpRelay(self, name, (host, int(port))), local_addr=("127.0.0.1", 0))
                 return transport.get_extra_info("sockname")[1]
 
-            self.known["udp", name] = "127.0.0.1:%d" % self._run(bind())
-        return self.known["udp", name]
+            self.addresses["udp", name] = "127.0.0.1:%d" % self._run(bind())
+        return self.addresses["udp", name]
 
     async def _serve(self, name, host, port, reader, writer):
         if self.mode(name) == "refuse":
@@ -147,7 +150,7 @@
     def close(self):
         async def cancel():
             for server in self.servers:
-                server.close()  # or the next site could not listen there
+                server.close()  # frees the address for the next site
             for task in asyncio.all_tasks():
                 if task is not asyncio.current_task():
                     task.cancel()
--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -1,18 +1,19 @@
-"""Random faults, alone and together, from a seed that is printed. Judges all promises at the end."""
+"""Injects random faults, alone and in pairs, from a printed seed, and checks all guarantees at the
+end."""
 import argparse
 import random
 import sys
 import time
 
-from checker import Follower, judge
+from checker import Traffic, judge
 from cluster import Cluster
 
 
 class Schedule:
-    """Picks faults and heals them again; everything it does follows from the seed."""
+    """Picks faults and heals them; all choices follow from the seed."""
 
-    def __init__(self, cluster, follower, seed):
-        self.cluster, self.follower, self.random = cluster, follower, random.Random(seed)
+    def __init__(self, cluster, traffic, seed):
+        self.cluster, self.traffic, self.random = cluster, traffic, random.Random(seed)
 
     def agents(self):
         return sorted(self.cluster.domain_of)
@@ -20,17 +21,17 @@
     def pause(self, name):
         self.cluster.processes[name].pause()
         if name in self.cluster.domain_of:
-            self.follower.down(name)
-        return lambda: (self.cluster.processes[name].go_on(), self.follower.up(name))
+            self.traffic.host_down(name)
+        return lambda: (self.cluster.processes[name].resume(), self.traffic.host_up(name))
 
     def kill(self, name):
         self.cluster.processes[name].kill()
         if name in self.cluster.domain_of:
-            self.follower.down(name)
-        return lambda: (self.cluster.processes[name].start(), self.follower.up(name))
+            self.traffic.host_down(name)
+        return lambda: (self.cluster.processes[name].start(), self.traffic.host_up(name))
 
-    def cut(self, name, mode):
-        self.cluster.cut(name, mode)
+    def partition(self, name, mode):
+        self.cluster.partition(name, mode)
 
         def heal():
             for link in self.cluster.links(name):
@@ -38,13 +39,13 @@
                 self.cluster.proxy.set(link, "pass")
         return heal
 
-    def one(self):
+    def inject_fault(self):
         r = self.random
         agent = r.choice(self.agents())
         control = "control-%d" % r.choice(sorted(self.cluster.control_links))
         entry = "entry-%d" % r.choice(sorted(self.cluster.entry_http))
-        what = r.choice(["pause agent", "kill agent", "cut agent", "slow agent", "one way",
-                         "pause control", "kill control", "cut control", "cut entry",
+        what = r.choice(["pause agent", "kill agent", "partition agent", "slow agent", "one way",
+                         "pause control", "kill control", "partition control", "partition entry",
                          "kill entry", "domain"])
         if what == "domain":
             domain = r.choice(sorted(set(self.cluster.domain_of.values())))
@@ -57,7 +58,7 @@
             return "%s %s" % (what, target), self.kill(target)
         mode = {"slow agent": "slow", "one way": r.choice(["silent_in", "silent_out"])}.get(
             what, "silent")
-        return "%s %s %s" % (what, target, mode), self.cut(target, mode)
+        return "%s %s %s" % (what, target, mode), self.partition(target, mode)
 
 
 def run(seed, seconds, say=print):
@@ -66,13 +67,13 @@
                  settings={"customers/probe/key_digest": "0" * 64}) as cluster:
         cluster.wait_serving(2)
         cluster.wait_models()
-        follower = Follower(cluster, seed).start()
-        schedule = Schedule(cluster, follower, seed)
+        traffic = Traffic(cluster, seed).start()
+        schedule = Schedule(cluster, traffic, seed)
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             faults = {}
             for _ in range(schedule.random.choice([1, 1, 2])):
-                what, heal = schedule.one()
+                what, heal = schedule.inject_fault()
                 if what.split()[-1] not in " ".join(faults):
                     faults[what] = heal
                 else:
@@ -86,12 +87,12 @@
         cluster.wait_serving(2, 60)
         cluster.wait_models(60)
         time.sleep(0.5)
-        follower.stop()
-        found = judge(cluster, follower.records)
-        whole = sum(1 for c in follower.records.completions if c[5])
-        say("  %d of %d completions whole, %d saves, %d settings probes, %d violations" % (
-            whole, len(follower.records.completions), len(follower.records.saves),
-            len(follower.records.settings), len(found)))
+        traffic.stop()
+        found = judge(cluster, traffic.records)
+        whole = sum(1 for c in traffic.records.completions if c[5])
+        say("  %d of %d completions complete, %d saves, %d settings probes, %d violations" % (
+            whole, len(traffic.records.completions), len(traffic.records.saves),
+            len(traffic.records.settings), len(found)))
         return found, whole
 
 
--- a/tests/faults/test_drain.py
+++ b/tests/faults/test_drain.py
@@ -1,4 +1,4 @@
-"""Planned stops cut nothing in flight, and what is leaving gets no new work."""
+"""Planned shutdowns abort no request in flight, and a draining process gets no new requests."""
 import json
 import signal
 import socket
@@ -19,7 +19,7 @@
 
 
 class LongStreams:
-    """Streams of some seconds that must all come back whole."""
+    """Streams of some seconds that must all complete."""
 
     def __init__(self, cluster, count=6, tokens=90, entry=1):
         self.answers, self.threads = [], []
@@ -42,13 +42,13 @@
         assert all(answer == (200, True) for answer in self.answers), self.answers
 
 
-def test_a_kept_connection_is_ended_with_an_answer_before_its_entry_host_stops(cluster):
+def test_an_idle_connection_is_closed_before_its_entry_host_stops(cluster):
     host, port = cluster.url(2).rsplit("/", 1)[1].split(":")
-    with socket.create_connection((host, int(port)), timeout=5) as kept:
+    with socket.create_connection((host, int(port)), timeout=5) as idle:
         def ask():
-            kept.sendall(b"GET /v1/models HTTP/1.1\r\nHost: x\r\n"
+            idle.sendall(b"GET /v1/models HTTP/1.1\r\nHost: x\r\n"
                          b"Authorization: Bearer key-geology\r\n\r\n")
-            return kept.recv(65536).decode()
+            return idle.recv(65536).decode()
 
         assert ask().startswith("HTTP/1.1 200 ")
         streams = LongStreams(cluster, count=2, tokens=120, entry=2)
@@ -56,8 +56,8 @@
         time.sleep(1.0)
         assert "connection: close" not in ask().lower()
         time.sleep(1.2)
-        kept.settimeout(1)  # the streams keep the process for longer
-        assert kept.recv(65536) == b"", "the connection rests, and is ended"
+        idle.settimeout(1)  # the streams keep the process running for longer than that
+        assert idle.recv(65536) == b"", "the idle connection was not closed"
         streams.join()
     assert cluster.processes["entry-2"].popen.wait(10) == 0
     cluster.processes["entry-2"].start()
@@ -71,7 +71,7 @@
     return total
 
 
-def test_drain_of_a_host_loses_no_stream_and_replaces_before_it_stops(cluster):
+def test_drain_of_a_host_loses_no_stream_and_replaces_its_group_first(cluster):
     group = cluster.wait_serving(1)[0]
     before = started(cluster)
     streams = LongStreams(cluster)
@@ -79,7 +79,7 @@
     wait_for(lambda: any(g["serving"] and g["group"] != group["group"] for g in cluster.groups()),
              "the replacement serves")
     streams.join()
-    assert started(cluster) - before == 6, "no stream was broken and begun again"
+    assert started(cluster) - before == 6, "a stream was aborted and started again"
     wait_for(lambda: group["group"] not in [g["group"] for g in cluster.groups()], "released")
     assert cluster.complete("after", 2)[0] == 200
     cluster.ctl("hosts", "undrain", group["members"][1])
@@ -110,7 +110,7 @@
     cluster.wait_models()
 
 
-def test_a_leaving_service_gets_no_new_work_and_finishes_what_it_has(cluster):
+def test_a_draining_service_gets_no_new_calls_and_finishes_those_in_flight(cluster):
     name = sorted(cluster.services)[0]
     where = cluster.services[name]
     answers = []
@@ -132,7 +132,7 @@
     cluster.processes[name].start()
 
 
-def test_a_new_version_is_rolled_without_a_gap(cluster):
+def test_a_new_version_is_rolled_out_without_a_gap(cluster):
     old = cluster.wait_serving(1)[0]
     cluster.set("models/archive/version", "2")
     least = 1
@@ -146,7 +146,7 @@
     assert least == 1
 
 
-def test_a_caller_that_hangs_up_cancels_its_work(cluster):
+def test_a_disconnect_of_a_caller_cancels_its_request(cluster):
     cluster.wait_serving(1)
     cluster.wait_models()
 
@@ -161,10 +161,10 @@
                         "key-geology\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)).encode())
         while b"data: " not in caller.recv(4096):
             pass
-    wait_for(lambda: stopped() > before, "the engine is told to stop")
+    wait_for(lambda: stopped() > before, "the engine receives the cancellation")
 
 
-def test_wrong_settings_stop_a_process_before_it_opens_a_port(cluster, tmp_path):
+def test_an_invalid_config_file_stops_a_process_before_it_opens_a_port(cluster, tmp_path):
     good = json.load(open(cluster.folder + "/entry-1.json"))
     for change, names in [({"htp": "x"}, ["htp", "http"]), ({"http": "nowhere"}, ["http", "ip:port"]),
                           ({"cluster_keys": ["short"]}, ["cluster_keys"])]:
@@ -177,7 +177,7 @@
         del cluster.processes["bad"]
 
 
-def test_a_damaged_log_is_refused_and_a_torn_tail_is_cut(cluster):
+def test_a_damaged_log_is_rejected_and_a_torn_tail_is_truncated(cluster):
     import glob
     import os
     name = "control-3"
--- a/tests/faults/test_faults.py
+++ b/tests/faults/test_faults.py
@@ -1,12 +1,12 @@
-"""Faults on real processes. Each test lets callers and an operator go on, injects its fault, and
-then judges every promise from the records alone."""
+"""Faults on real processes. Each test injects its fault while callers and an operator are active;
+then all guarantees are checked from the records of what they observed."""
 import time
 
 import pytest
 
-from checker import Follower, Records, judge, violations
+from checker import Traffic, Records, judge, violations
 from cluster import Cluster, expected_text, http, stream_text, wait_for
-from evidence import ended
+from evidence import exited_processes
 
 
 @pytest.fixture(scope="module")
@@ -19,28 +19,29 @@
 
 
 @pytest.fixture
-def followed(cluster):
-    """Two groups serve, callers run; afterwards everything heals and no promise is broken."""
+def traffic(cluster):
+    """Starts callers on two serving groups. After the test it heals all faults, waits for two
+    groups and checks that no guarantee was violated."""
     cluster.wait_serving(2)
     cluster.wait_models()
-    follower = Follower(cluster, seed=time.time_ns() % 10 ** 9).start()
-    yield follower
+    running = Traffic(cluster, seed=time.time_ns() % 10 ** 9).start()
+    yield running
     cluster.heal()
     for process in cluster.processes.values():
         if process.popen.poll() is None:
-            process.go_on()
+            process.resume()
         else:
             process.start()
-    for row in follower.records.downs:
+    for row in running.records.outages:
         row[2] = row[2] or time.time() * 1000
     cluster.wait_serving(2)
     cluster.wait_models()
     time.sleep(0.5)
-    follower.stop()
-    assert ended(cluster) == []
-    good = [c for c in follower.records.completions if c[5]]
-    assert len(good) > 10 and follower.records.settings and follower.records.saves
-    assert judge(cluster, follower.records) == []
+    running.stop()
+    assert exited_processes(cluster) == []
+    good = [c for c in running.records.completions if c[5]]
+    assert len(good) > 10 and running.records.settings and running.records.saves
+    assert judge(cluster, running.records) == []
 
 
 def member(cluster, index):
@@ -49,94 +50,94 @@
 
 
 def wait_repaired(cluster, domain, lost):
-    """The one group that serves in a domain, once no group that serves has the lost host."""
+    """Waits until one group serves in the domain and no serving group contains the lost host."""
     def repaired():
-        serving = cluster.serving()  # one list: the old group may close between two
+        serving = cluster.serving()  # one list: the old group may close between two calls
         here = [g for g in serving if g["domain"] == domain]
-        gone = all(lost not in g["members"] for g in serving)
-        return here[0] if len(here) == 1 and gone else None
+        lost_absent = all(lost not in g["members"] for g in serving)
+        return here[0] if len(here) == 1 and lost_absent else None
     return wait_for(repaired, "the group is repaired")
 
 
-def test_a_killed_member_stops_its_group_which_is_rebuilt(cluster, followed):
+def test_a_killed_member_stops_its_group_which_is_rebuilt(cluster, traffic):
     group, victim = member(cluster, 2)
     cluster.processes[victim].kill()
-    followed.down(victim)
+    traffic.host_down(victim)
     wait_for(lambda: group["group"] not in [g["group"] for g in cluster.serving()], "stopped")
     cluster.wait_serving(2)
 
 
-def test_a_paused_member_past_every_lease(cluster, followed):
+def test_a_member_paused_for_longer_than_every_lease(cluster, traffic):
     group, victim = member(cluster, 1)
     cluster.processes[victim].pause()
-    followed.down(victim)
+    traffic.host_down(victim)
     time.sleep(4)
-    cluster.processes[victim].go_on()
-    followed.up(victim)
+    cluster.processes[victim].resume()
+    traffic.host_up(victim)
     time.sleep(1)
 
 
-def test_a_paused_lead_and_a_second_host_lost_right_after_the_repair(cluster, followed):
+def test_a_paused_lead_and_a_second_host_lost_right_after_the_repair(cluster, traffic):
     group, lead = member(cluster, 0)
-    # The repair needs one, and the host that an earlier test took down is back only if it could
-    # start and its engine was emptied.
+    # The repair needs a spare host. The host that an earlier test killed becomes one only after its
+    # agent restarted and unloaded its engine.
     wait_for(lambda: cluster.spares(group["domain"]), "a spare host in " + group["domain"])
     cluster.processes[lead].pause()
-    followed.down(lead)
+    traffic.host_down(lead)
     repaired = wait_repaired(cluster, group["domain"], lead)
     second = repaired["members"][-1]
     cluster.processes[second].kill()
-    followed.down(second)
+    traffic.host_down(second)
     time.sleep(3)
-    cluster.processes[lead].go_on()
-    followed.up(lead)
+    cluster.processes[lead].resume()
+    traffic.host_up(lead)
 
 
-def test_a_domain_goes_dark_and_returns(cluster, followed):
-    dark = [n for n, d in cluster.domain_of.items() if d == "fabric-b"]
-    for name in dark:
+def test_a_fabric_domain_becomes_unreachable_and_recovers(cluster, traffic):
+    domain_hosts = [n for n, d in cluster.domain_of.items() if d == "fabric-b"]
+    for name in domain_hosts:
         cluster.processes[name].pause()
-        followed.down(name)
+        traffic.host_down(name)
     time.sleep(4)
-    for name in dark:
-        cluster.processes[name].go_on()
-        followed.up(name)
+    for name in domain_hosts:
+        cluster.processes[name].resume()
+        traffic.host_up(name)
 
 
-def test_a_leading_control_host_is_killed(cluster, followed):
+def test_a_leading_control_host_is_killed(cluster, traffic):
     node = wait_for(cluster.leader, "a leader")
     cluster.processes["control-%d" % node].kill()
     wait_for(lambda: cluster.leader() not in (None, node), "another leader")
     cluster.set("retries/attempts", 4)
 
 
-def test_a_leading_control_host_is_cut_off_in_silence(cluster, followed):
+def test_a_leading_control_host_is_partitioned(cluster, traffic):
     node = wait_for(cluster.leader, "a leader")
-    cluster.cut("control-%d" % node)
+    cluster.partition("control-%d" % node)
     wait_for(lambda: cluster.leader() not in (None, node), "another leader")
     answer = cluster.rpc_at(node, "settings.get", timeout=3)
-    assert "error" in answer, "a leader without a majority answered as leader"
+    assert "error" in answer, "a control host without a majority responded as leader"
     cluster.set("retries/attempts", 3)
     time.sleep(2)
 
 
-def test_one_way_cuts_between_agents_and_between_control_hosts(cluster, followed):
+def test_one_way_partitions_between_agents_and_between_control_hosts(cluster, traffic):
     group, lead = member(cluster, 0)
-    cluster.proxy.set(group["members"][1], "silent_in")  # echoes are lost, pings arrive
+    cluster.proxy.set(group["members"][1], "silent_in")  # ping replies are lost, pings arrive
     node = wait_for(cluster.leader, "a leader")
     other = node % 3 + 1
     cluster.proxy.set("control-%d>control-%d" % (other, node), "silent_out")
     time.sleep(4)
 
 
-def test_doubled_reordered_and_truncated_datagrams(cluster, followed):
+def test_doubled_reordered_and_truncated_datagrams(cluster, traffic):
     for name, mode in zip(sorted(cluster.domain_of), ["double", "reorder", "truncate", "slow"] * 3):
         cluster.proxy.set(name, mode)
     time.sleep(3)
 
 
-def test_an_entry_host_cut_off_from_control_admits_nothing(cluster, followed):
-    cluster.cut("entry-1")
+def test_an_entry_host_partitioned_from_control_admits_nothing(cluster, traffic):
+    cluster.partition("entry-1")
     def refused():
         status, headers, _ = cluster.complete("cut off", 2, 1, False, 10)
         return status == 503 and headers.get("Liftweir-Outcome") == "not-run"
@@ -146,7 +147,7 @@
     wait_for(lambda: cluster.complete("healed", 2, 1, False)[0] == 200, "entry 1 serves again")
 
 
-def test_no_control_majority_means_not_run_at_once_and_nothing_is_lost(cluster, followed):
+def test_without_a_control_majority_saves_are_refused_as_not_run(cluster, traffic):
     for node in (1, 2):
         cluster.processes["control-%d" % node].kill()
     def refused():
@@ -160,7 +161,7 @@
     assert cluster.executions()["nobody"] == 1
 
 
-def test_every_process_restarts_after_hundreds_of_changes(cluster, followed):
+def test_every_process_restarts_after_hundreds_of_changes(cluster, traffic):
     late = [n for n in cluster.control_links if n != cluster.leader()][0]
     cluster.processes["control-%d" % late].kill()
     for n in range(150):
@@ -177,7 +178,7 @@
                 if row["key"] == "once/answer_bytes"][0]["value"] == 10149
 
 
-def test_two_entries_with_one_key_at_one_instant_run_it_once(cluster, followed):
+def test_two_entry_hosts_with_one_key_at_the_same_time_run_it_once(cluster, traffic):
     import threading
     answers = []
     for n in range(10):
@@ -192,7 +193,7 @@
 
 
 def test_an_entry_killed_in_a_call_leaves_an_unknown_outcome_that_an_operator_resolves(
-        cluster, followed):
+        cluster, traffic):
     import threading
     thread = threading.Thread(target=cluster.save, args=("ghost", "ghost-key", 1, "/vanish", 5))
     thread.start()
@@ -205,7 +206,7 @@
         return status == 409 and headers["Liftweir-Outcome"] == "unknown" and \
             cluster.rpc("once.show", {"customer": "geology", "key": "ghost-key"})[0][
                 "phase"] == "unknown"
-    wait_for(unknown, "the outcome is told as unknown")
+    wait_for(unknown, "the outcome is reported as unknown")
     assert cluster.executions()["ghost"] == 1
     cluster.ctl("once", "resolve", "geology", "ghost-key", "ran")
     status, headers, _ = cluster.save("ghost", "ghost-key", 2, "/vanish")
@@ -230,7 +231,7 @@
     assert found(saves=[("q", "k", 503, "not-run")], counts={"q": 1})
     assert not found(saves=[("q", "k", 409, "unknown")], counts={"q": 1})
     groups = {7: ["a", "b"], 9: ["b", "c"]}
-    assert found(downs=[["b", 1000, None]], executions=[(4000, "a", 7)], groups=groups)
-    assert not found(downs=[["b", 1000, None]], executions=[(2000, "a", 7)], groups=groups)
+    assert found(outages=[["b", 1000, None]], executions=[(4000, "a", 7)], groups=groups)
+    assert not found(outages=[["b", 1000, None]], executions=[(2000, "a", 7)], groups=groups)
     assert found(executions=[(1000, "a", 7), (2000, "b", 9), (3000, "a", 7)], groups=groups)
     assert found(settings=[("old", 1, 200)]) and found(settings=[("new", 1, 401)])
--- a/tests/faults/test_poison.py
+++ b/tests/faults/test_poison.py
@@ -1,13 +1,10 @@
-"""A request that takes down what serves it, on real processes.
-
-What users saw: 8 of 8 completions were answered; then one got 503 no_endpoint, not-run, and so did
-all 30 others of the next 15 s; the model did not come back. Order of events: the request ended the
-engine beside the lead's agent (last line of the engine's log, exit by a signal); libcurl sent it again on
-a fresh connection, was refused there, and the agent told not-run of a request that had run; the
-agent's gate stayed open, since it only rests on the members' echoes; every later request was routed
-to it and refused. Cause: nobody asked whether the engine was still there. Evidence: the one group
-was still listed as serving at the end, and no event was recorded by agent or control. With more
-groups the same request, called not-run, could have ended up to eight of them one after another."""
+"""A request that crashes the engine that serves it, on real processes.
+
+Guards against an agent that does not notice the crash of its engine. libcurl then retries the
+request on a new connection, which is refused, and the agent reports not-run for a request that had
+run. Its gate stays open, because it depends only on the ping replies of the members, so all later
+requests are routed to it and fail, and the group is never repaired. With more groups, the same
+request, reported as not-run, is retried and can crash up to eight of them."""
 import glob
 import json
 import threading
@@ -17,9 +14,9 @@
 
 from cluster import Cluster, wait_for
 
-MARK = "this-prompt-ends-engines"
-RESTART_S = 1.0   # the service manager starts an engine that ended
-REPAIR_S = 10.0   # bound for the group to serve again, from the end of its engine
+CRASH_MARK = "this-prompt-ends-engines"
+RESTART_S = 1.0   # the service manager restarts a crashed engine after this time
+REPAIR_S = 10.0   # bound from the crash of the engine until the group serves again
 
 
 @pytest.fixture
@@ -28,7 +25,7 @@
 
     def build(domains):
         c = Cluster(domains=domains, services=0, restart_engines=RESTART_S,
-                    engine={"load-ms": 200, "token-ms": 3, "end-on": MARK})
+                    engine={"load-ms": 200, "token-ms": 3, "end-on": CRASH_MARK})
         clusters.append(c)
         c.wait_serving(len(domains))
         c.wait_models()
@@ -39,17 +36,18 @@
 
 
 class Callers:
-    """Ordinary callers that go on; each row is (sent at, took, status, outcome, error)."""
+    """Callers that send ordinary requests until stop(). Each row is (sent at, seconds taken,
+    status, outcome, body)."""
 
     def __init__(self, cluster, count=4):
-        self.cluster, self.rows, self.end = cluster, [], threading.Event()
+        self.cluster, self.rows, self.stopping = cluster, [], threading.Event()
         self.threads = [threading.Thread(target=self.run, args=(i,)) for i in range(count)]
         for thread in self.threads:
             thread.start()
 
     def run(self, index):
         number = 0
-        while not self.end.is_set():
+        while not self.stopping.is_set():
             number += 1
             sent = time.time()
             status, headers, body = self.cluster.complete(
@@ -58,7 +56,7 @@
             time.sleep(0.02)
 
     def stop(self):
-        self.end.set()
+        self.stopping.set()
         for thread in self.threads:
             thread.join()
         return self.rows
@@ -72,60 +70,62 @@
                     yield json.loads(line)
 
 
-def test_a_request_that_ends_an_engine_ends_one_group_which_comes_back(make):
+def test_a_request_that_crashes_an_engine_costs_one_group_which_is_rebuilt(make):
     cluster = make((4, 4))
     callers = Callers(cluster)
     time.sleep(1)
     began = time.time()
-    status, headers, body = cluster.complete("a " + MARK, 8, stream=False)
+    status, headers, body = cluster.complete("a " + CRASH_MARK, 8, stream=False)
     assert (status, headers["Liftweir-Outcome"]) == (502, "unknown"), body
     assert time.time() - began < 2
     wait_for(lambda: len(cluster.serving()) < 2, "the loss is noticed", 3)
     cluster.wait_serving(2, REPAIR_S)
-    print("two groups serve %.2f s after the end" % (time.time() - began))
+    print("two groups serve %.2f s after the crash" % (time.time() - began))
     time.sleep(1)
     rows = callers.stop()
-    assert len(cluster.engine_ends) == 1, "a second engine ended: %s" % cluster.engine_ends
-    # Beside the marked one only what was at the same engine may fail, and what is sent before the
-    # loss is noticed goes to the other group.
-    failed = [r for r in rows if r[2] != 200]
-    assert all(r[0] < began + 0.5 and r[3] == "unknown" for r in failed), failed
-    assert len(failed) <= len(callers.threads)
+    assert len(cluster.engine_exits) == 1, "a second engine crashed: %s" % cluster.engine_exits
+    # Apart from the marked request, only those in flight at the same engine may fail. Later
+    # requests go to the other group, also before the loss is noticed.
+    failures = [r for r in rows if r[2] != 200]
+    assert all(r[0] < began + 0.5 and r[3] == "unknown" for r in failures), failures
+    assert len(failures) <= len(callers.threads)
     assert len([r for r in rows if r[0] > began]) > 50
 
 
-def test_the_only_group_comes_back_and_why_names_the_request(make):
+def test_the_only_group_is_rebuilt_and_why_names_the_request(make):
     cluster = make((4,))
     assert all(cluster.complete("before %d" % i)[0] == 200 for i in range(8))
     began = time.time()
-    status, headers, _ = cluster.complete("a " + MARK, 8, stream=False)
+    status, headers, _ = cluster.complete("a " + CRASH_MARK, 8, stream=False)
     assert (status, headers["Liftweir-Outcome"]) == (502, "unknown")
     wait_for(lambda: cluster.complete("after")[0] == 200, "ordinary requests are served again", REPAIR_S)
-    print("served again %.2f s after the end" % (time.time() - began))
+    print("served again %.2f s after the crash" % (time.time() - began))
     assert all(cluster.complete("after %d" % i)[0] == 200 for i in range(30))
-    assert len(cluster.engine_ends) == 1
-    ended = [row for row in log_lines(cluster) if row["message"] == "endpoint_ended"]
-    assert len(ended) == 1 and ended[0]["request"]
-    failed = [row for row in log_lines(cluster) if row["message"] == "request_failed"]
-    story = cluster.ctl("why", failed[0]["request"], *glob.glob(cluster.folder + "/*.log")).stdout
-    assert "endpoint_ended" in story and ended[0]["request"] in story and "group_dissolved" in story
+    assert len(cluster.engine_exits) == 1
+    ended_events = [row for row in log_lines(cluster) if row["message"] == "endpoint_ended"]
+    assert len(ended_events) == 1 and ended_events[0]["request"]
+    failures = [row for row in log_lines(cluster) if row["message"] == "request_failed"]
+    story = cluster.ctl("why", failures[0]["request"], *glob.glob(cluster.folder + "/*.log")).stdout
+    assert "endpoint_ended" in story and ended_events[0]["request"] in story and \
+        "group_dissolved" in story
 
 
-def test_an_engine_that_ends_without_a_request_is_replaced_too(make):
-    """A member's engine ends while nothing runs: the group must not go on with an empty member."""
+def test_an_engine_that_crashes_without_a_request_is_replaced(make):
+    """When the engine of an idle group's member crashes, the group must be re-formed without it."""
     cluster = make((5,))
     group = cluster.serving()[0]
     member = group["members"][1]
     cluster.processes["engine-" + member].kill()
     spare = wait_for(lambda: [g for g in cluster.serving() if g["group"] != group["group"]],
-                     "formed again with the spare", REPAIR_S)
+                     "a group with the spare serves", REPAIR_S)
     assert member not in spare[0]["members"]
     assert cluster.complete("after")[0] == 200
-    # The host is used again once its engine answers: another member goes, and it is the only spare.
+    # The host is used again once its engine responds: it is the only spare for a second failure.
     time.sleep(RESTART_S + 1)
     other = spare[0]["members"][1]
     cluster.processes["engine-" + other].kill()
     again = wait_for(lambda: [g for g in cluster.serving() if g["group"] not in
-                              (group["group"], spare[0]["group"])], "formed with the returned host", REPAIR_S)
+                              (group["group"], spare[0]["group"])],
+                     "a group with the recovered host serves", REPAIR_S)
     assert member in again[0]["members"] and other not in again[0]["members"]
     assert cluster.complete("after")[0] == 200
--- a/tests/faults/test_soak.py
+++ b/tests/faults/test_soak.py
@@ -1,4 +1,4 @@
-"""The fixed set of random schedules that CI runs."""
+"""Runs the soak with the fixed seeds of CI."""
 import pytest
 
 from soak import run
--- a/tests/faults/test_whole.py
+++ b/tests/faults/test_whole.py
@@ -1,4 +1,4 @@
-"""The whole path on real processes."""
+"""The whole request path and the operators' interface on real processes, without faults."""
 import json
 
 import pytest
@@ -22,7 +22,7 @@
         assert {cluster.domain_of[m] for m in group["members"]} == {group["domain"]}
 
 
-def test_streamed_and_whole_answers_agree(cluster):
+def test_streamed_and_buffered_responses_agree(cluster):
     status, _, body = cluster.complete("shelf 4 core 12", 20)
     text, whole = stream_text(body)
     assert status == 200 and whole and len(text.split()) == 20
@@ -42,7 +42,7 @@
     assert other[0] == 422 and other[1]["Liftweir-Outcome"] == "not-run"
 
 
-def test_strangers_change_nothing_and_learn_nothing(cluster):
+def test_unauthenticated_callers_read_and_change_nothing(cluster):
     assert http("POST", cluster.url() + "/v1/completions", {})[0] == 401
     assert http("GET", cluster.url() + "/v1/models")[0] == 401
     for where in [cluster.control_http[1], cluster.entry_metrics[1],
@@ -65,10 +65,9 @@
     assert http("POST", cluster.url() + "/services/none/x", {}, head)[0] == 404
 
 
-def test_a_field_out_of_its_bound_reaches_no_engine(cluster):
-    """What users saw: one completion with `max_tokens` -5 got 503 no_endpoint, and so did every
-    ordinary one after it. The entry host passed the field on unread, and the engine ended on it:
-    "LargestInt out of UInt range" was the last line of its log."""
+def test_a_field_out_of_range_reaches_no_engine(cluster):
+    """Guards against an entry host that forwards fields unchecked: an engine crashes on
+    `max_tokens` -5 ("LargestInt out of UInt range"), and later requests then find no endpoint."""
     def started():
         return sum(json.loads(http("GET", "http://%s/record" % a)[2]).get("started", 0)
                    for a in cluster.engines.values())
@@ -84,11 +83,11 @@
     status, headers, _ = cluster.complete("p", headers={"Liftweir-Deadline-Ms": "-1"})
     assert status == 400 and headers["Liftweir-Outcome"] == "not-run"
     assert cluster.save("q", "a b")[0] == 400
-    assert started() == before, "something was sent to an engine"
+    assert started() == before, "a request reached an engine"
     assert cluster.complete("an ordinary one")[0] == 200
 
 
-def test_settings_explain_and_typed_conflict(cluster):
+def test_settings_explain_and_conflicts_name_their_key(cluster):
     base = cluster.rpc("settings.get")["version"]
     change = [{"path": "utility", "key": "models/archive/deadline_ms", "value": 30000}]
     first = cluster.rpc("settings.set", {"order": "o-1", "base": base, "changes": change})
@@ -105,7 +104,7 @@
     assert bad.returncode == 2 and "models/archive/replicas" in bad.stderr
 
 
-def test_the_time_line_names_every_process(cluster):
+def test_the_time_line_covers_every_process(cluster):
     rows = [json.loads(line) for line in cluster.ctl("timeline", "--json").stdout.splitlines()]
     processes = {row["process"] for row in rows}
     assert {"control-1", "control-2", "control-3", "entry-1", "host-a1"} <= processes
@@ -116,13 +115,13 @@
     assert formed < opened
 
 
-def test_an_agent_whose_engine_does_not_answer_as_one_says_so_and_is_not_registered(cluster):
+def test_an_agent_whose_engine_is_no_engine_logs_it_and_is_not_registered(cluster):
     name = "host-lost"
-    cluster.engines[name] = cluster.agent_addresses["host-a1"][2]  # an agent's pages
+    cluster.engines[name] = cluster.agent_addresses["host-a1"][2]  # an agent, not an engine
     try:
         cluster.start_agent(name, "fabric-a")
         wait_for(lambda: "the engine can not be emptied" in
-                 open(cluster.processes[name].log).read(), "it says so")
+                 open(cluster.processes[name].log).read(), "the agent logs it")
         assert cluster.engines[name] in open(cluster.processes[name].log).read()
         assert name not in [h["host"] for h in cluster.rpc("hosts.list")]
     finally:
--- a/tests/stand/loadgen.cpp
+++ b/tests/stand/loadgen.cpp
@@ -203,7 +203,7 @@
     const double seconds = std::chrono::duration<double>(Clock::now() - begin).count();
 
     std::vector<double> first;
-    std::vector<double> whole;
+    std::vector<double> complete;
     std::vector<double> gaps;
     Json::Value out;
     out["statuses"] = Json::objectValue;
@@ -218,14 +218,14 @@
                 continue;
             ++good;
             first.push_back(r.first_ms);
-            whole.push_back(r.whole_ms);
+            complete.push_back(r.whole_ms);
             gaps.push_back(r.worst_gap_ms);
         }
     out["sent"] = Json::UInt64(sent);
     out["good"] = Json::UInt64(good);
     out["seconds"] = seconds;
     out["first_ms"] = summary(first);
-    out["whole_ms"] = summary(whole);
+    out["whole_ms"] = summary(complete);
     out["worst_gap_ms"] = summary(gaps);
     std::cout << to_text(out) << "\n";
     return 0;
