--- a/models/check.py
+++ b/models/check.py
@@ -7,7 +7,8 @@
 import tempfile
 
 HERE = os.path.dirname(os.path.abspath(__file__))
-# Bounds checked as built, then each mutation with the bounds in which it must be caught.
+# For each model: the bounds within which it must hold, and the bounds within which the check must
+# find a violation under each mutation.
 FIGURE_8 = ["TERMS=4", "LENGTH=1", "CANDIDATES=2", "NO_CRASH"]
 MODELS = {
     "log": ([["TERMS=2", "LENGTH=2"], ["TERMS=3", "LENGTH=1"], FIGURE_8], {
--- a/models/group.pml
+++ b/models/group.pml
@@ -1,7 +1,7 @@
 /* Group epochs, release and gate, with delayed messages and agent restarts.
  *
- * Three hosts; every group has two of them, the first one leads. An order, once given, may be
- * received at any later time. An echo is received at any time after its ping was sent; what
+ * Three hosts; every group has two of them, the first one leads. An order, once sent, may be
+ * received at any later time. A ping reply is received at any time after its ping was sent; what
  * counts is the age of the ping. Time is kept as ages that stop at OLD, so it is not bounded.
  *
  * Mutations: NO_OPENING_WAIT, ECHO_RECEIPT, NO_RELEASE, ECHO_ANYTHING, LAST_GROUP_ONLY.
@@ -14,22 +14,22 @@
 #define RESTARTS 1
 #endif
 #define T 2                     /* echo timeout in ticks */
-#define OLD T                   /* any age of T or more is the same */
+#define OLD T                   /* all ages of T or more are equivalent */
 
 #define NOTHING 0
 #define SENT 1
 #define ECHOED 2
 
 typedef Group { bool formed; bool over; byte lead; byte other; byte lead_inc; byte other_inc;
-                bool waits }     /* the lead of a member's old group has not released */
+                bool waits }     /* the lead of a member's previous group has not released it */
 typedef Host {
     byte inc; byte held; byte fence;
     byte held_age;
     byte left_age;              /* since the host last left a group */
-    byte proof;                 /* as lead: age of the newest echoed ping */
+    byte proof;                 /* as lead: age of the newest ping with a reply */
     byte stage; byte ping_age
 }
-typedef Seen { byte inc; byte bound; bool left[EPOCHS + 1] }  /* as control believes */
+typedef Seen { byte inc; byte bound; bool left[EPOCHS + 1] }  /* as recorded by control */
 
 Group group[EPOCHS + 1];
 Host host[HOSTS];
@@ -45,7 +45,7 @@
                  (!group[host[x].held].waits || host[x].held_age >= T))
 #endif
 
-/* State::may_be_open */
+/* State::may_be_open: the gate of a group that the host left may still be open */
 #define STILL_BOUND(x, g) (seen[x].left[g] && seen[group[g].lead].bound == g)
 #ifdef LAST_GROUP_ONLY
 #define MAY_BE_OPEN(x) ((seen[x].left[2] && STILL_BOUND(x, 2)) || \
@@ -62,8 +62,8 @@
     host[q].ping_age = 0
 }
 
-/* "No group serves while a member is missing", up to the echo timeout, and "no host in two
- * groups": no two open groups share a host. */
+/* No group serves for longer than the echo timeout while a member is missing, and no two open
+ * groups share a host. */
 inline check() {
     a = 0;
     do :: a < HOSTS ->
@@ -116,7 +116,7 @@
                     seen[group[g].other].left[g] = true :: else fi
 #endif
            :: else fi; g = 0 }
-    /* Agent::hold: an order for any group ever formed may arrive now */
+    /* Agent::hold: an order for any group ever formed may be received now */
     :: atomic { select(x : 0 .. 2); select(g : 1 .. EPOCHS);
         if :: group[g].formed && g > host[x].held && g > host[x].fence &&
               ((group[g].lead == x && group[g].lead_inc == host[x].inc) ||
@@ -129,7 +129,7 @@
             if :: host[x].held != 0 -> drop(x) :: else fi;
             host[x].fence = g
            :: else fi; x = 0; g = 0; check() }
-    /* Planner::acknowledge_releases, State::on(ReleaseHost) */
+    /* PlacementPlanner::acknowledge_releases, State::on(ReleaseHost) */
     :: atomic { select(x : 0 .. 2); g = seen[x].bound;
         if :: g != 0 && group[g].over && seen[x].inc == host[x].inc && host[x].held == 0 &&
               host[x].fence >= g -> seen[x].bound = 0; seen[x].left[g] = true
@@ -150,7 +150,7 @@
     /* Gate::due_pings */
     :: atomic { select(x : 0 .. 2);
         if :: LEADS(x) -> host[x].stage = SENT; host[x].ping_age = 0 :: else fi; x = 0 }
-    /* Gate::answer: a member echoes only what it holds */
+    /* Gate::answer: a member replies only for the group that it holds */
     :: atomic { select(x : 0 .. 2); g = host[x].held;
         if :: host[x].stage == SENT && LEADS(x) -> b = group[g].other;
 #ifdef ECHO_ANYTHING
@@ -160,7 +160,7 @@
                :: else fi
 #endif
            :: else fi; x = 0; g = 0; b = 0 }
-    /* Gate::on_echo */
+    /* Gate::on_ping_reply */
     :: atomic { select(x : 0 .. 2);
         if :: host[x].stage == ECHOED ->
 #ifdef ECHO_RECEIPT
--- a/models/lease.pml
+++ b/models/lease.pml
@@ -1,14 +1,14 @@
 /* The settings lease: a change is in force only when no entry host can act on older settings.
  *
- * Three control hosts and one entry host. A change spreads through the logs one host at a time
- * and is committed once a majority has it. Questions and vouches may be delayed for ever. Time
- * is kept as ages that stop at OLD, so it is not bounded.
+ * Three control hosts and one entry host. A change is replicated to one log at a time and is
+ * committed once a majority has it. Lease renewals and their acknowledgements may be delayed
+ * without bound. Time is kept as ages that stop at OLD, so it is not bounded.
  *
  * Mutations: RECEIPT_TIME, ONE_VOUCHER, VOUCH_APPLIED, NO_WAIT.
  */
 #define NODES 3
 #define L 2                     /* SettingsLease and SettingsLeaseWait, in ticks */
-#define OLD L                   /* any age of L or more is the same */
+#define OLD L                   /* all ages of L or more are equivalent */
 
 #define NOTHING 0
 #define ASKED 1
@@ -22,8 +22,8 @@
 bool committed;                 /* a majority has logged the change */
 byte committed_age;
 bool in_force;
-bool have;                      /* the entry host has it */
-bool acknowledged;              /* the leader knows that the entry host has it */
+bool have;                      /* the entry host has the change */
+bool acknowledged;              /* the leader knows that the entry host has the change */
 
 #define FRESH(i) (voucher[i].proved < L)
 #ifdef ONE_VOUCHER
@@ -32,7 +32,7 @@
 #define ENOUGH ((FRESH(0) && FRESH(1)) || (FRESH(0) && FRESH(2)) || (FRESH(1) && FRESH(2)))
 #endif
 
-/* The entry host may admit a request now: it must not act on settings below those in force. */
+/* An entry host that may admit a request must not act on settings older than those in force. */
 #define CHECK assert(!ENOUGH || have || !in_force)
 
 inline older(v) { if :: v < OLD -> v++ :: else fi }
@@ -57,10 +57,10 @@
     /* Replica::apply */
     :: atomic { select(i : 0 .. 2);
         if :: committed && control[i].logged -> control[i].applied = true :: else fi; i = 0 }
-    /* LeaseKeeper::asked */
+    /* LeaseHolder::asked */
     :: atomic { select(i : 0 .. 2); voucher[i].stage = ASKED; voucher[i].age = 0;
         voucher[i].said = false; i = 0 }
-    /* Control::make_vouch */
+    /* Control::make_lease_ack */
     :: atomic { select(i : 0 .. 2);
         if :: voucher[i].stage == ASKED -> voucher[i].stage = ANSWERED;
 #ifdef VOUCH_APPLIED
@@ -69,7 +69,7 @@
             voucher[i].said = control[i].logged
 #endif
            :: else fi; i = 0 }
-    /* LeaseKeeper::on_vouch */
+    /* LeaseHolder::on_lease_ack */
     :: atomic { select(i : 0 .. 2);
         if :: voucher[i].stage == ANSWERED ->
             if :: !voucher[i].said || have ->
@@ -82,11 +82,11 @@
                :: else fi;
             voucher[i].stage = NOTHING; voucher[i].age = 0; voucher[i].said = false
            :: else fi; i = 0; CHECK }
-    /* TableBuilder::apply: a delta holds only what is applied */
+    /* TableBuilder::apply: a delta holds only applied settings */
     :: atomic { control[0].applied || control[1].applied || control[2].applied -> have = true }
-    /* InForce::acknowledged */
+    /* SettingsRollout::acknowledged */
     :: atomic { have -> acknowledged = true }
-    /* InForce::reached */
+    /* SettingsRollout::reached */
     :: atomic { committed && !in_force &&
                 (acknowledged
 #ifdef NO_WAIT
--- a/models/log.pml
+++ b/models/log.pml
@@ -1,8 +1,8 @@
 /* Election, log and commit with crash and restart.
  *
- * Messages are not kept in channels. A leader's log only grows within its term, so every append
- * that it ever sent is a prefix of `sent`; a request for a vote never changes within a term. Any
- * of them may be received at any later time, any number of times, or never: that covers delay,
+ * Messages are not kept in channels. The log of a leader only grows within its term, so every
+ * append that it ever sent is a prefix of `sent`; a vote request never changes within a term. Any
+ * message may be received at any later time, any number of times, or never: that covers delay,
  * loss, reordering and duplication.
  *
  * Mutations: VOTE_AMNESIA, OLD_TERM_COMMIT, NO_LOG_CHECK, ACK_BEFORE_SYNC.
@@ -27,7 +27,7 @@
 typedef Node {
     byte term; byte voted; byte role; byte commit;
     byte size; byte log[3];   /* log[i]: term of entry i+1 */
-    byte unsynced            /* entries at the end that a crash loses; only under ACK_BEFORE_SYNC */
+    byte unsynced            /* last entries, which a crash loses; only with ACK_BEFORE_SYNC */
 }
 typedef Sent { byte size; byte log[3]; byte by; byte ack[NODES]; bool leads }
 typedef Ask { bool made; byte size; byte last; bool granted[NODES] }
@@ -36,7 +36,7 @@
 Node node[NODES];
 Sent sent[5];            /* by term */
 Asks asks[5];            /* by term, then candidate */
-byte committed[3];       /* term of what was ever committed at an index; 0: nothing */
+byte committed[3];       /* term of the entry committed at an index; 0: none */
 
 #define LAST(n) (node[n].size == 0 -> 0 : node[n].log[node[n].size - 1])
 
@@ -93,7 +93,7 @@
         if :: asks[t].from[me].granted[1] -> n++ :: else fi;
         if :: asks[t].from[me].granted[2] -> n++ :: else fi;
         if :: MAJORITY(n) ->
-            assert(!sent[t].leads);          /* one leader a term */
+            assert(!sent[t].leads);          /* at most one leader in a term */
             sent[t].leads = true; sent[t].by = me; node[me].role = LEADER;
             sent[t].size = node[me].size; k = 0;
             do :: k < node[me].size -> sent[t].log[k] = node[me].log[k]; k++ :: else -> break od;
@@ -113,7 +113,7 @@
                 if :: prev < sent[t].size ->
                     if :: prev < node[me].size && node[me].log[prev] == sent[t].log[prev] -> skip
                        :: else ->
-                            assert(prev >= node[me].commit);  /* never truncates what is committed */
+                            assert(prev >= node[me].commit);  /* truncates no committed entry */
                             node[me].log[prev] = sent[t].log[prev]; node[me].size = prev + 1;
                             k = prev + 1;
                             do :: k < 3 -> node[me].log[k] = 0; k++ :: else -> break od; k = 0;
@@ -143,7 +143,7 @@
            :: else -> break od;
         mark_committed(); t = 0; n = 0 }
 #ifndef NO_CRASH
-    /* crash and restart: what was synced is read back, the rest is gone */
+    /* crash and restart: synced entries are read back, all others are lost */
     :: atomic { node[me].role != FOLLOWER || node[me].commit > 0 || node[me].unsynced > 0 ||
                 node[me].voted != NONE ->
         node[me].role = FOLLOWER; node[me].commit = 0;
--- a/models/takeover.pml
+++ b/models/takeover.pml
@@ -1,27 +1,29 @@
-/* Two control hosts that both think they lead, and whether a host is taken from a group that serves.
+/* Takeover by a new leader while the previous one still believes that it leads: no endpoint may be
+ * taken from a group that serves.
  *
- * Two endpoints, 0 leads every group and 1 is a member. Leader of term 1 forms a group, is deposed and
- * does not know; leader of term 2 plans with the same endpoints. Orders and answers are delivered at any
- * time, or never; an endpoint refuses a fence lower than one it has seen. A group of each term is
- * enough: g1 is the first leader's, g2 the second's, and g2 is ordered only where the rule says that its
- * endpoints are free. Words of state are left out: the rule may use answers alone, so that any age of a
- * word is allowed.
+ * There are two endpoints: 0 leads every group and 1 is a member. The leader of term 1 forms a
+ * group and does not notice that it is no longer leader; the leader of term 2 plans with the same
+ * endpoints. Orders and their responses are delivered at any time, or never; an endpoint rejects a
+ * fence lower than the highest it has seen. One group of each term suffices: g1 is the first
+ * leader's, g2 the second's, and g2 is ordered only when the rule says that its endpoints are free.
+ * State reports are not modelled: the rule uses only responses to orders, so it holds for reports of
+ * any age.
  *
- * Mutations: ORDER_FIRST (orders leave before the log has the group), MEMBER_FIRST (the member of an
- * earlier group is ordered before its lead has answered), ADOPT (the second leader opens the group that
- * the first one formed), NO_FENCE (endpoints take orders of any term).
+ * Mutations: ORDER_FIRST (orders are sent before the log has the group), MEMBER_FIRST (the member
+ * of an earlier group gets an order before its lead has responded), ADOPT (the second leader opens
+ * the group that the first one formed), NO_FENCE (endpoints accept orders of any term).
  */
 #define NONE 0
 
-byte group[2] = NONE;   /* 0, 1 or 2: the group that an endpoint is in */
-byte fence[2] = NONE;   /* the highest term of an order that it has seen */
+byte group[2] = NONE;   /* the group of each endpoint: none, 1 or 2 */
+byte fence[2] = NONE;   /* the highest term of the orders that each endpoint has received */
 bool open1 = false, open2 = false;
 bool logged1 = false;   /* g1 is committed */
-bool elected = false;   /* term 2 has begun, and knows the log */
-bool knows1 = false;    /* it found g1 there */
-bool lead_out = false;  /* its lead has answered an order to leave */
-bool ready[2] = false;  /* the first leader's belief: its endpoint has joined g1 */
-bool ready2[2] = false; /* the second leader's */
+bool elected = false;   /* term 2 has begun, and its leader has read the log */
+bool knows1 = false;    /* the second leader found g1 in the log */
+bool lead_out = false;  /* the lead of g1 has responded to an order to leave */
+bool ready[2] = false;  /* as known to the first leader: the endpoint has joined g1 */
+bool ready2[2] = false; /* as known to the second leader: the endpoint has joined g2 */
 bool sent1[2] = false, sent_open1 = false;
 bool sent_leave = false, sent2[2] = false, sent_open2 = false;
 bool adopted = false;
@@ -34,7 +36,7 @@
 
 inline see(e, term) { if :: fence[e] < term -> fence[e] = term :: else fi }
 
-/* the rule that is judged: no host of a group is taken while the lead of that group serves */
+/* the checked rule: no endpoint of a group joins another while the lead of that group serves */
 inline join(e, g) {
     assert(!(group[e] == 1 && g != 1 && group[0] == 1 && open1));
     if :: group[e] != g && e == 0 && group[e] == 1 -> open1 = false :: else fi;
@@ -62,7 +64,7 @@
     :: atomic { knows1 && !sent_leave && !adopted -> sent_leave = true } /* advance_dead */
 #ifdef ADOPT
     :: atomic { knows1 && group[0] == 1 && group[1] == 1 && !sent_leave -> adopted = true; open1 = true; knows1 = false }
-    /* the first leader gives the group up and takes its member for another one */
+    /* the first leader dissolves the group and orders its member to join another one */
     :: atomic { adopted && TAKES(1, 1) -> see(1, 1); join(1, 3) }
 #endif
 #ifdef MEMBER_FIRST
@@ -76,7 +78,7 @@
     od
 }
 
-/* the network and the endpoints: each order once, at any time after it was sent */
+/* the network and the endpoints: each order is delivered once, at any time after it was sent */
 proctype endpoints() {
     bool did[2], did_open, did_leave, did2[2], did_open2;
     byte e;
--- a/models/voters.pml
+++ b/models/voters.pml
@@ -1,21 +1,21 @@
-/* Voters that lose their disks and come back, and when a change may be acknowledged.
+/* Voters that lose their disks and restart, and the point at which a change may be acknowledged.
  *
- * Five hosts; a data folder is a node of its own. One change travels from the leader to others;
- * what matters is which folders hold it on disk when it is acknowledged, and whether, after up to
- * F further lost disks, every majority of the voters that can still answer holds it, and one such
- * majority exists. Elections are the model `log`; here a majority stands for the next leader.
+ * Five hosts; each data directory is a node of its own. One change is replicated by the leader. The
+ * model follows which directories hold it on disk when it is acknowledged, and whether, after up to
+ * F further lost disks, a majority of the voters can still respond and every such majority holds
+ * the change. Elections are in the model `log`; here a majority stands for the next leader.
  *
- * Mutations: SAME_NUMBER (a wiped host votes under its old number), ACK_EARLY (a majority of the
- * first three voters is enough to acknowledge), JOIN_EMPTY (a new voter need not be caught up).
+ * Mutations: SAME_NUMBER (a wiped host votes under its old node id), ACK_EARLY (a majority of the
+ * first three voters suffices to acknowledge), JOIN_EMPTY (a new voter need not be caught up).
  */
 #define HOSTS 5
 #define F 2
 #define ALL 31
 
-byte member = 7;        /* hosts whose present folder votes: three founders */
-byte ghost = 0;         /* hosts with an old, lost folder that is still counted as a voter */
-byte holds = 0;         /* hosts whose present folder holds the change on disk */
-byte wiped = 0;         /* disks lost and not yet made good */
+byte member = 7;        /* hosts whose current directory is a voter; at first three */
+byte ghost = 0;         /* hosts with a lost directory that still counts as a voter */
+byte holds = 0;         /* hosts whose current directory holds the change on disk */
+byte wiped = 0;         /* hosts whose lost disk has not been replaced as a voter yet */
 bool acked = false;
 byte h, n, m, v, q;
 
@@ -31,7 +31,7 @@
     out = HAS(set, 0) + HAS(set, 1) + HAS(set, 2) + HAS(set, 3) + HAS(set, 4)
 }
 
-/* voters on the list, whether they answer or not */
+/* number of configured voters, whether they respond or not */
 inline voters(out) { count(member, out); count(ghost, m); out = out + m; m = 0 }
 
 init {
@@ -48,21 +48,21 @@
         if :: n >= F + 1 && n * 2 > v && v >= 2 * F + 1 -> acked = true :: else fi;
 #endif
         v = 0; n = 0 }
-    /* VoterKeeper::next: add one voter; needs a majority of the voters to answer */
+    /* VoterSelector::next: add one voter; a majority of the voters must respond */
     :: atomic { select(h : 0 .. 4);
         voters(v); count(member, n);
         if :: !HAS(member, h) && n * 2 > v && v <= 5 && CAUGHT_UP(h) ->
                 member = member | BIT(h)
            :: else fi; v = 0; n = 0 }
-    /* VoterKeeper::next: remove one lost voter; with that the loss is made good, well within the
-     * time that a host that came back still counts as lost */
+    /* VoterSelector::next: remove one lost voter. This repairs the loss, well within the time for
+     * which a restarted host still counts as lost. */
     :: atomic { select(h : 0 .. 4);
         voters(v); count(member, n);
         if :: HAS(ghost, h) && v > 5 && n * 2 > v ->
                 ghost = ghost & (ALL - BIT(h));
                 wiped = wiped & (ALL - BIT(h))
            :: else fi; v = 0; n = 0 }
-    /* a disk is lost; as many at a time as the tolerance says */
+    /* a disk is lost; at most F at a time */
     :: atomic { select(h : 0 .. 4); count(wiped, n);
         if :: acked && n < F && HAS(member, h) && !HAS(wiped, h) ->
                 wiped = wiped | BIT(h);
@@ -72,7 +72,7 @@
                 ghost = ghost | BIT(h)
 #endif
            :: else fi; n = 0 }
-    /* the next leader: some majority answers, and none without the change */
+    /* the next leader: a majority responds, and every majority has the change */
     :: atomic { acked ->
         voters(v); count(member, n);
         assert(n * 2 > v);
--- a/tests/knownred.py
+++ b/tests/knownred.py
@@ -1,11 +1,11 @@
-"""KNOWN-RED.txt: tests that run and are reported, but whose failure does not fail their suite."""
+"""Reads KNOWN-RED.txt, the list of tests that run and are reported but may fail."""
 import os
 
 LIST = os.path.join(os.path.dirname(__file__), "..", "KNOWN-RED.txt")
 
 
 def known_red():
-    """Names of listed tests with their causes; a line is `test: cause (issue N)`."""
+    """Maps the name of each listed test to the cause. A line is `test: cause (issue N)`."""
     if not os.path.exists(LIST):
         return {}
     with open(LIST) as file:
@@ -13,7 +13,7 @@
 
 
 def mark(items):
-    """Lets the listed ones of pytest's tests fail."""
+    """Marks the listed tests among pytest's items, so that they may fail."""
     import pytest
     red = known_red()
     for item in items:
--- a/tests/unit/run.py
+++ b/tests/unit/run.py
@@ -1,4 +1,4 @@
-"""Runs the unit tests; those that KNOWN-RED.txt lists run by themselves and may fail."""
+"""Runs the unit tests. Those listed in KNOWN-RED.txt run one by one and may fail."""
 import subprocess
 import sys
 
--- a/tools/lint.py
+++ b/tools/lint.py
@@ -1,4 +1,5 @@
-"""Formatter, linters and the rules of the house: file sizes, share of tests, generated docs."""
+"""Runs the formatter and the linters, and checks the project's own rules: sizes of files, of the
+soaks and of the adapter, generated pages and the table of metrics."""
 import concurrent.futures
 import glob
 import os
@@ -8,8 +9,8 @@
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 BUILD = os.path.join(ROOT, "build", "release")
-LONGEST_FILE = 600
-# The names of metrics as they stand in the sources.
+MAX_FILE_LINES = 600
+# Matches the names of metrics in the sources.
 METRIC = re.compile(r'"((?:liftweir_[a-z_]+?|process_[a-z_]+_(?:total|bytes)))(?=[" {])')
 
 
@@ -55,33 +56,34 @@
         failures.append("cppcheck:\n" + text[:4000])
     for name in code_files + test_files:
         count = len(open(name, encoding="utf-8").readlines())
-        if count > LONGEST_FILE:
+        if count > MAX_FILE_LINES:
             failures.append("%s has %d lines; at most %d" % (os.path.relpath(name, ROOT), count,
-                                                             LONGEST_FILE))
+                                                             MAX_FILE_LINES))
     code, text = run([os.path.join(BUILD, "liftweirctl"), "keys"])
     page = os.path.join(ROOT, "docs", "SETTINGS.md")
     if code or not os.path.exists(page) or open(page, encoding="utf-8").read() != text:
-        failures.append("docs/SETTINGS.md is not what `liftweirctl keys` prints")
+        failures.append("docs/SETTINGS.md differs from the output of `liftweirctl keys`")
     code, text = run([os.path.join(BUILD, "liftweirctl"), "metrics"])
     page = os.path.join(ROOT, "docs", "METRICS.md")
     if code or not os.path.exists(page) or open(page, encoding="utf-8").read() != text:
-        failures.append("docs/METRICS.md is not what `liftweirctl metrics` prints")
+        failures.append("docs/METRICS.md differs from the output of `liftweirctl metrics`")
     used = {name for file in code_files if "metricnames" not in file
             for name in METRIC.findall(open(file, encoding="utf-8").read())}
     listed = set(re.findall(r"^\| `(\w+)`", text, re.M))
-    failures += ["metric %s is not in the table" % name for name in sorted(used - listed)]
-    failures += ["metric %s is in the table and nowhere else" % name
+    failures += ["metric %s is not listed by liftweirctl" % name for name in sorted(used - listed)]
+    failures += ["metric %s is listed by liftweirctl and not used" % name
                  for name in sorted(listed - used)]
     src, tests = lines(code_files), lines(test_files)
     share = tests / (src + tests)
     print("lines: src %d, tests %d; tests are %.0f %% of all code" % (src, tests, 100 * share))
-    # The users lifted the cap on tests; their soak keeps to a tenth of the code.
+    # Tests have no limit of size, but the soaks may have at most a tenth of the lines of the code.
     soak = lines(sources("tests/**/soak*.py"))
     if soak > src / 10:
-        failures.append("the soak has %d lines, more than a tenth of the code" % soak)
+        failures.append("the soaks have %d lines, more than a tenth of the code" % soak)
+    # The adapter in platform/ only translates, which bounds its size.
     adapter = lines(sources("platform/*"))
     if adapter > src / 4:
-        failures.append("platform/ has %d lines: it is to translate only" % adapter)
+        failures.append("platform/ has %d lines, more than a quarter of the code" % adapter)
     for failure in failures:
         print(failure)
     print("lint: %s" % ("%d failures" % len(failures) if failures else "clean"))
