--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -4,8 +4,8 @@
 
 from common import Cluster, fit, link_bytes, table, usage, wait_for
 
-GROUP = 4
-SECONDS = 10
+GROUP_SIZE = 4
+MEASURE_S = 10
 
 
 def measure(c, ticket, processes):
@@ -14,7 +14,7 @@
         return {name: usage(c.processes[name].pid) + link_bytes(c, where, ticket)
                 for name, where in processes.items()}
     before, began = snapshot(), time.monotonic()
-    time.sleep(SECONDS)
+    time.sleep(MEASURE_S)
     after, seconds = snapshot(), time.monotonic() - began
     return {name: ((after[name][0] - before[name][0]) * 1000 / seconds, after[name][1],
                    (after[name][2] - before[name][2]) / seconds,
@@ -23,7 +23,7 @@
 
 def one_size(groups, changes_per_second=0):
     settings = {"placement/loads_at_once": 16, "models/archive/replicas": groups}
-    with Cluster(entries=4, domains=(GROUP,) * groups, services=0, pooled=True, settings=settings) as c:
+    with Cluster(entries=4, domains=(GROUP_SIZE,) * groups, services=0, pooled=True, settings=settings) as c:
         c.wait_serving(groups, 120)
         time.sleep(2)
         ticket = c.rpc("observe.ticket", {"valid_ms": 600000})["ticket"]
@@ -50,7 +50,7 @@
             (usage(c.processes["entry-1"].pid)[0] - entry_cpu - entry_idle) / 60 * 1000)
         # A seventh of the agents restarts at the same time, as after the outage of a zone.
         began = time.monotonic()
-        for name in sorted(c.domain_of)[:GROUP * max(1, groups // 7)]:
+        for name in sorted(c.domain_of)[:GROUP_SIZE * max(1, groups // 7)]:
             c.processes[name].kill()
             c.processes[name].start()
         wait_for(lambda: len(c.serving()) < groups, "groups are lost", 30, 0.01)
@@ -62,7 +62,7 @@
 def main():
     sizes = [6, 12, 24, 48] if len(sys.argv) < 2 else [int(a) for a in sys.argv[1:]]
     runs = {size: one_size(size) for size in sizes}
-    hosts = [size * GROUP for size in sizes]
+    hosts = [size * GROUP_SIZE for size in sizes]
     units = ["processor ms/s", "resident MB", "bytes in/s", "bytes out/s"]
     rows = []
     for role in [r for r in runs[sizes[0]] if r not in ("zone restart", "change")]:
@@ -70,7 +70,7 @@
             ys = [runs[size][role][i] for size in sizes]
             base, slope, residual = fit(hosts, ys)
             rows.append([role, unit] + ys + [base, slope, residual, base + 930 * slope])
-    table("slopes over hosts (%s hosts, 4 entry hosts, %d s each)" % (hosts, SECONDS),
+    table("slopes over hosts (%s hosts, 4 entry hosts, %d s each)" % (hosts, MEASURE_S),
           ["role", "unit"] + ["%d hosts" % h for h in hosts] +
           ["base", "per host", "largest residual", "at 930 hosts"], rows)
     table("one change of settings: processor ms", ["hosts", "leading control", "entry"],
--- a/bench/control.py
+++ b/bench/control.py
@@ -83,7 +83,7 @@
     c.processes[victim].start()
 
 
-def paused_and_back(c, group):
+def paused_and_resumed(c, group):
     victim = group["members"][1]
     c.processes[victim].pause()
     time.sleep(5)
@@ -128,9 +128,9 @@
         time.sleep(3)
 
 
-SCRIPTS = [member_killed, paused_and_back, paused_without_spare, domain_unreachable,
+SCRIPTS = [member_killed, paused_and_resumed, paused_without_spare, domain_unreachable,
            second_lost_after_repair, flapping]
-TAIL = 22  # seconds after a script in which its repairs still count
+TAIL_S = 22  # seconds after a script in which its repairs still count
 
 
 def placement_run(policy, weights, script, load_seconds):
@@ -150,7 +150,7 @@
         before = c.rpc("status")
         began = time.monotonic()
         script(c, [g for g in c.serving() if g["domain"] == "fabric-a"][0])
-        time.sleep(max(0, 16 + TAIL - (time.monotonic() - began)))
+        time.sleep(max(0, 16 + TAIL_S - (time.monotonic() - began)))
         after = c.rpc("status")
         return (after["group_downtime_seconds"] - before["group_downtime_seconds"],
                 after["stranded_accelerator_seconds"] - before["stranded_accelerator_seconds"])
--- a/bench/days/kinds.py
+++ b/bench/days/kinds.py
@@ -145,9 +145,10 @@
                     yield label, companion, text
 
 
-def simulate_day(bench, site, folder, number, text):
+def simulate_day(bench, site, directory, number, text):
     """Simulates one day. Returns the broken rules, an empty string if there are none, and G."""
-    day, report = (os.path.join(folder, "%d.%s" % (number, end)) for end in ("toml", "json"))
+    day, report = (os.path.join(directory, "%d.%s" % (number, extension))
+                   for extension in ("toml", "json"))
     with open(day, "w") as out:
         out.write(text)
     done = subprocess.run([bench, "run", site, day, "--report", report, "--why",
@@ -158,9 +159,9 @@
         return "not simulated: " + (done.stderr + done.stdout).strip().splitlines()[-1][:100], None
     with open(report) as file:
         result = json.load(file)
-    broken = ["%s %s" % item for item in result["breaks"].items()]
-    broken += [str(result[k]) for k in ("fault", "exits_n") if result[k]]
-    return "; ".join(broken), result["G"]
+    violations = ["%s %s" % item for item in result["breaks"].items()]
+    violations += [str(result[k]) for k in ("fault", "exits_n") if result[k]]
+    return "; ".join(violations), result["G"]
 
 
 def main():
@@ -174,21 +175,21 @@
     chosen = [d for d in days(options.seed, engine_service(options.site))
               if options.only in d[0]]
     subprocess.run([options.bench, "build"], check=True, stdout=subprocess.DEVNULL)
-    with tempfile.TemporaryDirectory() as folder, \
+    with tempfile.TemporaryDirectory() as directory, \
             concurrent.futures.ThreadPoolExecutor(options.jobs) as pool:
-        results = list(pool.map(lambda n: simulate_day(options.bench, options.site, folder, n,
+        results = list(pool.map(lambda n: simulate_day(options.bench, options.site, directory, n,
                                                chosen[n][2]), range(len(chosen))))
-    for (label, companion, _), (broken, worth) in zip(chosen, results):
-        print("%-34s %-8s %s %s" % (label, companion, "  -  " if worth is None else "%.3f" % worth,
-                                    broken or "kept"))
-    return verdict([broken for broken, _ in results])
+    for (label, companion, _), (violations, score) in zip(chosen, results):
+        print("%-34s %-8s %s %s" % (label, companion, "  -  " if score is None else "%.3f" % score,
+                                    violations or "no rule broken"))
+    return verdict([violations for violations, _ in results])
 
 
 def verdict(outcomes):
     """The exit code for the outcomes of all days. Days that the deployment does not offer count
     neither as passed nor as failed; a run without any simulated day is no success."""
-    simulated = [broken for broken in outcomes if broken != NOT_OFFERED]
-    failed = sum(1 for broken in simulated if broken)
+    simulated = [violations for violations in outcomes if violations != NOT_OFFERED]
+    failed = sum(1 for violations in simulated if violations)
     print("%d days, %d of them not offered by this deployment, %d failed" % (
         len(outcomes), len(outcomes) - len(simulated), failed))
     return 1 if failed or not simulated else 0
--- a/bench/days/plays.py
+++ b/bench/days/plays.py
@@ -47,9 +47,9 @@
 def state_of(checkout):
     """A digest of the sources that a simulation runs, to keep the reports of versions apart."""
     digest = hashlib.sha256()
-    for folder in ("src", "platform", "deploy"):
-        for root, folders, files in sorted(os.walk(os.path.join(checkout, folder))):
-            folders.sort()
+    for directory in ("src", "platform", "deploy"):
+        for root, directories, files in sorted(os.walk(os.path.join(checkout, directory))):
+            directories.sort()
             for name in sorted(files):
                 digest.update(name.encode())
                 with open(os.path.join(root, name), "rb") as file:
@@ -64,17 +64,17 @@
 class Simulator:
     """Simulates days with one checkout. A day whose report exists is not simulated again."""
 
-    def __init__(self, bench, checkout, folder, charge_processor=False, why="paired comparison"):
+    def __init__(self, bench, checkout, directory, charge_processor=False, why="paired comparison"):
         self.bench, self.checkout, self.why = bench, checkout, why
         self.charge_processor = charge_processor
         kind = "cpu" if charge_processor else "decisions"
-        self.folder = os.path.join(folder, "%s-%s" % (state_of(checkout), kind))
-        os.makedirs(self.folder, exist_ok=True)
+        self.directory = os.path.join(directory, "%s-%s" % (state_of(checkout), kind))
+        os.makedirs(self.directory, exist_ok=True)
 
     def report(self, simulation, log=None):
         """The report of a simulation, or None if it failed to run. With `log`, a pair of the report
         and the log of its processes."""
-        path = os.path.join(self.folder, "%s.%s.%s.json" % simulation.key)
+        path = os.path.join(self.directory, "%s.%s.%s.json" % simulation.key)
         if log is None and os.path.exists(path):
             with open(path) as file:
                 return json.load(file)
--- a/bench/days/shape.py
+++ b/bench/days/shape.py
@@ -43,14 +43,14 @@
 
 
 def main():
-    source, folder, shape = sys.argv[1:4]
+    source, directory, shape = sys.argv[1:4]
     with open(source, "rb") as file:
         site = tomllib.load(file)
     SHAPES[shape](site)
     site["name"] += "-" + shape
-    os.makedirs(folder, exist_ok=True)
-    shutil.copy(os.path.join(os.path.dirname(source), site["wire"]), folder)
-    with open(os.path.join(folder, site["name"] + ".toml"), "w") as out:
+    os.makedirs(directory, exist_ok=True)
+    shutil.copy(os.path.join(os.path.dirname(source), site["wire"]), directory)
+    with open(os.path.join(directory, site["name"] + ".toml"), "w") as out:
         out.write(dump(site))
 
 
--- a/bench/paired.py
+++ b/bench/paired.py
@@ -19,7 +19,7 @@
 import plays
 
 RESAMPLES = 2000
-TAIL = 0.025  # share of the resamples outside the interval on each side
+TAIL_SHARE = 0.025  # share of the resamples outside the interval on each side
 
 # Figures that the report gives only as text: seconds in which groups were stalled, and host-seconds
 # without a group.
@@ -58,8 +58,8 @@
     draw = random.Random(1)
     means = sorted(statistics.fmean(draw.choices(differences, k=len(differences)))
                    for _ in range(RESAMPLES))
-    return (statistics.fmean(differences), means[int(TAIL * RESAMPLES)],
-            means[int((1 - TAIL) * RESAMPLES) - 1])
+    return (statistics.fmean(differences), means[int(TAIL_SHARE * RESAMPLES)],
+            means[int((1 - TAIL_SHARE) * RESAMPLES) - 1])
 
 
 def class_shares(reports):
--- a/models/check.py
+++ b/models/check.py
@@ -28,13 +28,13 @@
 
 
 def check(model, defines, expect_error):
-    with tempfile.TemporaryDirectory() as folder:
+    with tempfile.TemporaryDirectory() as directory:
         source = os.path.join(HERE, model + ".pml")
-        subprocess.run(["spin"] + ["-D" + d for d in defines] + ["-a", source], cwd=folder, check=True,
-                       capture_output=True)
+        subprocess.run(["spin"] + ["-D" + d for d in defines] + ["-a", source], cwd=directory,
+                       check=True, capture_output=True)
         subprocess.run(["gcc", "-O2", "-w", "-DSAFETY", "-DCOLLAPSE", "-DMEMLIM=%d" % MEMORY_MB,
-                        "-o", "pan", "pan.c"], cwd=folder, check=True, capture_output=True)
-        out = subprocess.run(["./pan", "-m4000000"], cwd=folder, capture_output=True, text=True)
+                        "-o", "pan", "pan.c"], cwd=directory, check=True, capture_output=True)
+        out = subprocess.run(["./pan", "-m4000000"], cwd=directory, capture_output=True, text=True)
     text = out.stdout
     states = re.search(r"([\d.e+]+) states, stored", text)
     errors = re.search(r"errors: (\d+)", text)
--- a/tests/faults/checker.py
+++ b/tests/faults/checker.py
@@ -15,7 +15,7 @@
     """What callers, the operator and the injector of the faults observed."""
 
     def __init__(self):
-        self.completions = []  # (prompt, tokens, status, outcome, text, whole)
+        self.completions = []  # (prompt, tokens, status, outcome, text, finished)
         self.saves = []        # (quote, key, status, outcome)
         self.outages = []      # [host, from_ms, to_ms or None]
         self.settings = []     # ("old" or "new" key, entry, status)
@@ -57,12 +57,12 @@
         status, headers, body = self.cluster.complete(prompt, tokens, self.entry(n), stream, 60)
         outcome = headers.get("Liftweir-Outcome", "")
         if stream and status == 200:
-            text, whole = stream_text(body)
-            outcome = outcome or ("completed" if whole else "broken")
+            text, finished = stream_text(body)
+            outcome = outcome or ("completed" if finished else "broken")
         else:
-            whole = status == 200
-            text = json.loads(body)["choices"][0]["text"] if whole else ""
-        self.records.add("completions", (prompt, tokens, status, outcome, text, whole))
+            finished = status == 200
+            text = json.loads(body)["choices"][0]["text"] if finished else ""
+        self.records.add("completions", (prompt, tokens, status, outcome, text, finished))
 
     def completions(self, stream):
         n = 0
@@ -127,22 +127,22 @@
     """Every violation that the records show. `executions` are (ms, host, epoch), `group_members`
     gives the hosts of each epoch, `counts` how often each quote was saved."""
     out = []
-    for prompt, tokens, status, outcome, text, whole in records.completions:
+    for prompt, tokens, status, outcome, text, finished in records.completions:
         want = expected_text(prompt, tokens)
-        if whole and text != want:
+        if finished and text != want:
             out.append("the response to %s was reported complete and is not" % prompt)
         if not want.startswith(text):
             out.append("the response to %s contains text that was not generated for it" % prompt)
     by_quote = {}
     for quote, _, status, outcome in records.saves:
         by_quote.setdefault(quote, []).append((status, outcome))
-    for quote, answers in by_quote.items():
+    for quote, responses in by_quote.items():
         count = counts.get(quote, 0)
         if count > 1:
             out.append("%s ran %d times" % (quote, count))
-        if any(status == 200 for status, _ in answers) and count != 1:
+        if any(status == 200 for status, _ in responses) and count != 1:
             out.append("%s was confirmed and ran %d times" % (quote, count))
-        if all(outcome == "not-run" for _, outcome in answers) and count != 0:
+        if all(outcome == "not-run" for _, outcome in responses) and count != 0:
             out.append("%s was reported as not run and ran" % quote)
     for ms, host, epoch in executions:
         for member in group_members.get(epoch, []):
@@ -168,7 +168,7 @@
     return out
 
 
-def judge(cluster, records):
+def check_records(cluster, records):
     """Collects the records of the stand-ins and the time line, and returns the violations."""
     executions = []
     for name, where in cluster.engines.items():
@@ -185,4 +185,4 @@
     return found + list(status.get("violations") or [])
 
 
-__all__ = ["Follower", "Records", "judge", "violations", "KEYS"]
+__all__ = ["Traffic", "Records", "check_records", "violations", "KEYS"]
--- a/tests/faults/cluster.py
+++ b/tests/faults/cluster.py
@@ -74,12 +74,12 @@
 
 def wait_for(condition, what, seconds=30.0, every=0.05):
     """Polls until the condition is true and returns its value. Raises AssertionError on timeout."""
-    end = time.monotonic() + seconds
+    deadline = time.monotonic() + seconds
     while True:
         value = condition()
         if value:
             return value
-        if time.monotonic() > end:
+        if time.monotonic() > deadline:
             raise AssertionError("not within %.0f s: %s" % (seconds, what))
         time.sleep(every)
 
@@ -92,8 +92,8 @@
         request.add_header("Content-Type", "application/json")
     try:
         with urllib.request.build_opener(urllib.request.ProxyHandler({})).open(
-                request, timeout=timeout) as answer:
-            return answer.status, dict(answer.headers), answer.read()
+                request, timeout=timeout) as response:
+            return response.status, dict(response.headers), response.read()
     except urllib.error.HTTPError as error:
         return error.code, dict(error.headers), error.read()
     except (OSError, ValueError, urllib.error.URLError, EOFError) as error:
@@ -146,10 +146,10 @@
     """A whole system. `domains` gives the number of engine hosts of each fabric domain."""
 
     def __init__(self, controls=3, entries=2, domains=(4, 4), services=2, engine=None, settings=None,
-                 threads=1, accelerators=8, folder=None, start=True, fence=True, proxied=False,
+                 threads=1, accelerators=8, directory=None, start=True, fence=True, proxied=False,
                  pooled=False, restart_engines=None):
         self.proxy = FaultProxy() if proxied else None
-        self.folder = folder or tempfile.mkdtemp(prefix="liftweir-")
+        self.directory = directory or tempfile.mkdtemp(prefix="liftweir-")
         self.processes = {}
         self.engine_args = engine or {}
         self.threads, self.accelerators, self.fence = threads, accelerators, fence
@@ -201,7 +201,7 @@
         return os.path.join(BUILD, name)
 
     def config(self, name, **values):
-        path = os.path.join(self.folder, name + ".json")
+        path = os.path.join(self.directory, name + ".json")
         base = {"name": name, "zone": values.pop("zone", "zone-1"), "cluster_keys":
                 ["a-shared-cluster-key"],
                 "control": {str(n): a for n, a in
@@ -212,7 +212,7 @@
         return path
 
     def spawn(self, name, binary, args):
-        log = os.path.join(self.folder, name + ".log")
+        log = os.path.join(self.directory, name + ".log")
         process = Process(name, [self.binary(binary)] + args, log)
         self.processes[name] = process
         return process
@@ -220,7 +220,7 @@
     def start_control(self, node, **extra):
         name = "control-%d" % node
         path = self.config(name, zone="zone-%d" % node, node=node, listen=self.control_links[node],
-                           http=self.control_http[node], data=os.path.join(self.folder, name),
+                           http=self.control_http[node], data=os.path.join(self.directory, name),
                            bootstrap_admin_digest=digest(ADMIN), **extra)
         return self.spawn(name, "liftweir-control", ["--config", path])
 
@@ -351,11 +351,11 @@
     def rpc(self, method, params=None, timeout=10):
         """The result from the control host that leads, or None while there is no leader."""
         for node in self.control_http:
-            answer = self.rpc_at(node, method, params, timeout)
-            if "result" in answer:
-                return answer["result"]
-            if answer["error"]["message"] not in ("unreachable", "not_leader", "no_quorum"):
-                raise AssertionError("%s: %s" % (method, answer["error"]))
+            response = self.rpc_at(node, method, params, timeout)
+            if "result" in response:
+                return response["result"]
+            if response["error"]["message"] not in ("unreachable", "not_leader", "no_quorum"):
+                raise AssertionError("%s: %s" % (method, response["error"]))
         return None
 
     def set_many(self, changes, path=SITE, order=None):
@@ -396,13 +396,13 @@
         return [h["host"] for h in self.rpc("hosts.list") or [] if h["domain"] == domain and
                 h["role"] == "engine" and h["group"] == 0 and not h["silent"]]
 
-    def ctl(self, *words, check=True):
+    def ctl(self, *arguments, check=True):
         env = dict(os.environ, LIFTWEIR_TOKEN=ADMIN,
                    LIFTWEIR_CONTROL=",".join(self.control_http.values()))
-        done = subprocess.run([self.binary("liftweirctl")] + list(words), env=env,
+        done = subprocess.run([self.binary("liftweirctl")] + list(arguments), env=env,
                               capture_output=True, text=True, timeout=60)
         if check and done.returncode != 0:
-            raise AssertionError("liftweirctl %s: %s" % (" ".join(words), done.stderr))
+            raise AssertionError("liftweirctl %s: %s" % (" ".join(arguments), done.stderr))
         return done
 
     # ---- callers
@@ -452,11 +452,11 @@
 
 
 def stream_text(body):
-    """(text, complete) of a streamed response."""
-    text, whole = "", False
+    """The text of a streamed response, and whether it finished."""
+    text, finished = "", False
     for line in body.decode().split("\n"):
         if line == "data: [DONE]":
-            whole = True
+            finished = True
         elif line.startswith("data: {\"choices\"") or line.startswith("data: {\"id\""):
             text += json.loads(line[6:])["choices"][0]["text"]
-    return text, whole
+    return text, finished
--- a/tests/faults/conftest.py
+++ b/tests/faults/conftest.py
@@ -15,7 +15,7 @@
 def pytest_runtest_makereport(item, call):
     yield
     cluster = item.funcargs.get("cluster")
-    if call.excinfo is not None and hasattr(cluster, "folder"):
+    if call.excinfo is not None and hasattr(cluster, "directory"):
         name = "%s-%s" % (item.name, call.when)
         GATHERED.append((name, evidence.gather(cluster, name)))
 
--- a/tests/faults/demo.py
+++ b/tests/faults/demo.py
@@ -28,9 +28,9 @@
             step("group %d serves" % group["group"], ",".join(group["members"]))
         cluster.wait_models()
         status, headers, body = cluster.complete("summarise borehole 17", 12)
-        text, whole = stream_text(body)
+        text, finished = stream_text(body)
         step("a caller's streamed completion", "status %d, %d words, complete: %s" %
-             (status, len(text.split()), whole))
+             (status, len(text.split()), finished))
         status, headers, body = wait_for(
             lambda: (lambda a: a if a[0] == 200 else None)(cluster.save("quote-1", "idem-1")),
             "a quote is saved")
@@ -59,7 +59,7 @@
             say("  " + line[:150])
     finally:
         cluster.stop()
-        shutil.rmtree(cluster.folder, ignore_errors=True)
+        shutil.rmtree(cluster.directory, ignore_errors=True)
     say("\n%-8s %-52s %s" % ("time", "what happened", "result"))
     for row in rows:
         say("%6.1f s  %-52s %s" % row)
--- a/tests/faults/evidence.py
+++ b/tests/faults/evidence.py
@@ -36,7 +36,7 @@
         "timeline": result_or_error(
             lambda: cluster.ctl("timeline", "--json", check=False).stdout.splitlines()),
     }
-    path = os.path.join(cluster.folder, "evidence-%s.json" % test)
+    path = os.path.join(cluster.directory, "evidence-%s.json" % test)
     with open(path, "w") as out:
         json.dump(found, out, indent=1)
     return "\n".join(["%s; logs in the same directory" % path] + [
--- a/tests/faults/proxy.py
+++ b/tests/faults/proxy.py
@@ -38,9 +38,9 @@
             outer = self
 
             class ReplyProtocol(asyncio.DatagramProtocol):
-                def datagram_received(self, answer, _):
+                def datagram_received(self, response, _):
                     if outer.proxy.mode(outer.name) not in ("silent", "silent_in", "refuse"):
-                        outer.transport.sendto(answer, sender)
+                        outer.transport.sendto(response, sender)
 
             transport, _ = await loop.create_datagram_endpoint(ReplyProtocol,
                                                                remote_addr=self.target)
--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -5,7 +5,7 @@
 import sys
 import time
 
-from checker import Traffic, judge
+from checker import Traffic, check_records
 from cluster import Cluster
 
 
@@ -69,8 +69,8 @@
         cluster.wait_models()
         traffic = Traffic(cluster, seed).start()
         schedule = Schedule(cluster, traffic, seed)
-        end = time.monotonic() + seconds
-        while time.monotonic() < end:
+        deadline = time.monotonic() + seconds
+        while time.monotonic() < deadline:
             faults = {}
             for _ in range(schedule.random.choice([1, 1, 2])):
                 what, heal = schedule.inject_fault()
@@ -78,7 +78,7 @@
                     faults[what] = heal
                 else:
                     heal()
-            say("  %5.1f s left: %s" % (end - time.monotonic(), " + ".join(faults)))
+            say("  %5.1f s left: %s" % (deadline - time.monotonic(), " + ".join(faults)))
             time.sleep(schedule.random.choice([0.5, 2, 4]))
             for heal in faults.values():
                 heal()
@@ -88,12 +88,12 @@
         cluster.wait_models(60)
         time.sleep(0.5)
         traffic.stop()
-        found = judge(cluster, traffic.records)
-        whole = sum(1 for c in traffic.records.completions if c[5])
+        found = check_records(cluster, traffic.records)
+        finished = sum(1 for c in traffic.records.completions if c[5])
         say("  %d of %d completions complete, %d saves, %d settings probes, %d violations" % (
-            whole, len(traffic.records.completions), len(traffic.records.saves),
+            finished, len(traffic.records.completions), len(traffic.records.saves),
             len(traffic.records.settings), len(found)))
-        return found, whole
+        return found, finished
 
 
 def main():
--- a/tests/faults/test_drain.py
+++ b/tests/faults/test_drain.py
@@ -22,7 +22,7 @@
     """Streams of some seconds that must all complete."""
 
     def __init__(self, cluster, count=6, tokens=90, entry=1):
-        self.answers, self.threads = [], []
+        self.responses, self.threads = [], []
         for n in range(count):
             prompt = "long-%d-%d" % (n, time.time_ns())
             thread = threading.Thread(target=self.run, args=(cluster, prompt, tokens, entry))
@@ -33,28 +33,28 @@
 
     def run(self, cluster, prompt, tokens, entry):
         status, _, body = cluster.complete(prompt, tokens, entry)
-        self.answers.append((status, stream_text(body) == (expected_text(prompt, tokens), True)))
+        self.responses.append((status, stream_text(body) == (expected_text(prompt, tokens), True)))
 
     def join(self):
         for thread in self.threads:
             thread.join(60)
-        assert len(self.answers) == len(self.threads)
-        assert all(answer == (200, True) for answer in self.answers), self.answers
+        assert len(self.responses) == len(self.threads)
+        assert all(response == (200, True) for response in self.responses), self.responses
 
 
 def test_an_idle_connection_is_closed_before_its_entry_host_stops(cluster):
     host, port = cluster.url(2).rsplit("/", 1)[1].split(":")
     with socket.create_connection((host, int(port)), timeout=5) as idle:
-        def ask():
+        def send_request():
             idle.sendall(b"GET /v1/models HTTP/1.1\r\nHost: x\r\n"
                          b"Authorization: Bearer key-geology\r\n\r\n")
             return idle.recv(65536).decode()
 
-        assert ask().startswith("HTTP/1.1 200 ")
+        assert send_request().startswith("HTTP/1.1 200 ")
         streams = LongStreams(cluster, count=2, tokens=120, entry=2)
         cluster.processes["entry-2"].signal(signal.SIGTERM)
         time.sleep(1.0)
-        assert "connection: close" not in ask().lower()
+        assert "connection: close" not in send_request().lower()
         time.sleep(1.2)
         idle.settimeout(1)  # the streams keep the process running for longer than that
         assert idle.recv(65536) == b"", "the idle connection was not closed"
@@ -113,8 +113,8 @@
 def test_a_draining_service_gets_no_new_calls_and_finishes_those_in_flight(cluster):
     name = sorted(cluster.services)[0]
     where = cluster.services[name]
-    answers = []
-    threads = [threading.Thread(target=lambda n=n: answers.append(
+    responses = []
+    threads = [threading.Thread(target=lambda n=n: responses.append(
         cluster.save("slow-%d" % n, "slow-key-%d" % n, 1, "/slow"))) for n in range(6)]
     for thread in threads:
         thread.start()
@@ -126,7 +126,7 @@
         assert cluster.save("late-%d" % n, "late-key-%d" % n)[0] == 200
     for thread in threads:
         thread.join()
-    assert [a[0] for a in answers] == [200] * 6
+    assert [a[0] for a in responses] == [200] * 6
     assert json.loads(http("GET", "http://%s/counts" % where)[2]) == counts
     assert cluster.processes[name].exit_code() == 0
     cluster.processes[name].start()
@@ -165,14 +165,14 @@
 
 
 def test_an_invalid_config_file_stops_a_process_before_it_opens_a_port(cluster, tmp_path):
-    good = json.load(open(cluster.folder + "/entry-1.json"))
+    good = json.load(open(cluster.directory + "/entry-1.json"))
     for change, names in [({"htp": "x"}, ["htp", "http"]), ({"http": "nowhere"}, ["http", "ip:port"]),
                           ({"cluster_keys": ["short"]}, ["cluster_keys"])]:
         path = tmp_path / "bad.json"
         path.write_text(json.dumps({**good, **change}))
         process = cluster.spawn("bad", "liftweir-entry", ["--config", str(path)])
         assert process.exit_code() == 2
-        text = open(cluster.folder + "/bad.log").read()
+        text = open(cluster.directory + "/bad.log").read()
         assert "bad.json" in text and all(name in text for name in names)
         del cluster.processes["bad"]
 
@@ -182,7 +182,7 @@
     import os
     name = "control-3"
     cluster.processes[name].kill()
-    segment = sorted(glob.glob(os.path.join(cluster.folder, name, "log-*")))[-1]
+    segment = sorted(glob.glob(os.path.join(cluster.directory, name, "log-*")))[-1]
     data = open(segment, "rb").read()
     open(segment, "wb").write(data + b"\x40\x00\x00\x00torn")
     cluster.processes[name].start()
--- a/tests/faults/test_faults.py
+++ b/tests/faults/test_faults.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from checker import Traffic, Records, judge, violations
+from checker import Traffic, Records, check_records, violations
 from cluster import Cluster, expected_text, http, stream_text, wait_for
 from evidence import exited_processes
 
@@ -41,7 +41,7 @@
     assert exited_processes(cluster) == []
     good = [c for c in running.records.completions if c[5]]
     assert len(good) > 10 and running.records.settings and running.records.saves
-    assert judge(cluster, running.records) == []
+    assert check_records(cluster, running.records) == []
 
 
 def member(cluster, index):
@@ -115,8 +115,8 @@
     node = wait_for(cluster.leader, "a leader")
     cluster.partition("control-%d" % node)
     wait_for(lambda: cluster.leader() not in (None, node), "another leader")
-    answer = cluster.rpc_at(node, "settings.get", timeout=3)
-    assert "error" in answer, "a control host without a majority responded as leader"
+    response = cluster.rpc_at(node, "settings.get", timeout=3)
+    assert "error" in response, "a control host without a majority responded as leader"
     cluster.set("retries/attempts", 3)
     time.sleep(2)
 
@@ -180,15 +180,15 @@
 
 def test_two_entry_hosts_with_one_key_at_the_same_time_run_it_once(cluster, traffic):
     import threading
-    answers = []
+    responses = []
     for n in range(10):
-        threads = [threading.Thread(target=lambda e=e: answers.append(
+        threads = [threading.Thread(target=lambda e=e: responses.append(
             cluster.save("twin-%d" % n, "twin-key-%d" % n, e))) for e in (1, 2)]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
-    assert {a[0] for a in answers} <= {200, 409}
+    assert {a[0] for a in responses} <= {200, 409}
     assert all(cluster.executions()["twin-%d" % n] == 1 for n in range(10))
 
 
--- a/tests/faults/test_poison.py
+++ b/tests/faults/test_poison.py
@@ -63,7 +63,7 @@
 
 
 def log_lines(cluster):
-    for path in glob.glob(cluster.folder + "/*.log"):
+    for path in glob.glob(cluster.directory + "/*.log"):
         with open(path, errors="replace") as lines:
             for line in lines:
                 if line.startswith("{"):
@@ -105,9 +105,10 @@
     ended_events = [row for row in log_lines(cluster) if row["message"] == "endpoint_ended"]
     assert len(ended_events) == 1 and ended_events[0]["request"]
     failures = [row for row in log_lines(cluster) if row["message"] == "request_failed"]
-    story = cluster.ctl("why", failures[0]["request"], *glob.glob(cluster.folder + "/*.log")).stdout
-    assert "endpoint_ended" in story and ended_events[0]["request"] in story and \
-        "group_dissolved" in story
+    why_output = cluster.ctl("why", failures[0]["request"],
+                             *glob.glob(cluster.directory + "/*.log")).stdout
+    assert "endpoint_ended" in why_output and ended_events[0]["request"] in why_output and \
+        "group_dissolved" in why_output
 
 
 def test_an_engine_that_crashes_without_a_request_is_replaced(make):
--- a/tests/faults/test_soak.py
+++ b/tests/faults/test_soak.py
@@ -6,6 +6,6 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_random_faults_break_no_promise(seed):
-    found, whole = run(seed, 20)
+    found, finished = run(seed, 20)
     assert found == [], "seed %d" % seed
-    assert whole > 10
+    assert finished > 10
--- a/tests/faults/test_whole.py
+++ b/tests/faults/test_whole.py
@@ -24,8 +24,8 @@
 
 def test_streamed_and_buffered_responses_agree(cluster):
     status, _, body = cluster.complete("shelf 4 core 12", 20)
-    text, whole = stream_text(body)
-    assert status == 200 and whole and len(text.split()) == 20
+    text, finished = stream_text(body)
+    assert status == 200 and finished and len(text.split()) == 20
     status, headers, body = cluster.complete("shelf 4 core 12", 20, entry=2, stream=False)
     assert status == 200 and headers["Liftweir-Outcome"] == "completed"
     assert json.loads(body)["choices"][0]["text"] == text
@@ -50,8 +50,8 @@
         assert http("GET", "http://" + where + "/metrics")[0] == 401
         assert http("GET", "http://" + where + "/events")[0] == 401
     for node in cluster.control_http:
-        answer = cluster.rpc_at(node, "settings.get", token="wrong")
-        assert answer["error"]["message"] == "unauthorized"
+        response = cluster.rpc_at(node, "settings.get", token="wrong")
+        assert response["error"]["message"] == "unauthorized"
 
 
 def test_bad_requests_get_typed_errors(cluster):
@@ -59,9 +59,9 @@
     url = cluster.url() + "/v1/completions"
     deep = b"[" * 5000
     for body, want in [(b"{", 400), (deep, 400), (b"[]", 400), (b"{\"model\":\"none\"}", 404)]:
-        status, headers, answer = http("POST", url, body, head)
+        status, headers, response = http("POST", url, body, head)
         assert status == want and headers["Liftweir-Outcome"] == "not-run"
-        assert json.loads(answer)["error"]["type"] in ("bad_request", "not_found")
+        assert json.loads(response)["error"]["type"] in ("bad_request", "not_found")
     assert http("POST", cluster.url() + "/services/none/x", {}, head)[0] == 404
 
 
@@ -77,9 +77,9 @@
                    {"stream": "yes"}, {"n": 0}, {"temperature": 1e300}, {"prompt": 5},
                    {"model": 5}, {"x": 10 ** 40}]:
         body = {"model": "archive", "prompt": "p", **fields}
-        status, headers, answer = http("POST", cluster.url() + "/v1/completions", body, head)
+        status, headers, response = http("POST", cluster.url() + "/v1/completions", body, head)
         assert status == 400 and headers["Liftweir-Outcome"] == "not-run", fields
-        assert json.loads(answer)["error"]["type"] == "bad_request"
+        assert json.loads(response)["error"]["type"] == "bad_request"
     status, headers, _ = cluster.complete("p", headers={"Liftweir-Deadline-Ms": "-1"})
     assert status == 400 and headers["Liftweir-Outcome"] == "not-run"
     assert cluster.save("q", "a b")[0] == 400
--- a/tests/site/sitefleet.py
+++ b/tests/site/sitefleet.py
@@ -58,10 +58,10 @@
 class Process:
     """One real program. Signals go only to the process that this object started."""
 
-    def __init__(self, program, config, folder, name):
+    def __init__(self, program, config, directory, name):
         self.program, self.config, self.name = program, config, name
-        self.file = os.path.join(folder, name + ".json")
-        self.log = os.path.join(folder, name + ".log")
+        self.file = os.path.join(directory, name + ".json")
+        self.log = os.path.join(directory, name + ".log")
         self.popen = None
 
     def start(self):
@@ -90,7 +90,7 @@
 class Site:
     def __init__(self, controls=3, entries=2, endpoints=(4, 4), plain=2, tolerance=1, seed=1,
                  net=NET, proxy=None, has_start_time=True):
-        self.folder = tempfile.mkdtemp(prefix="liftweir-site-")
+        self.directory = tempfile.mkdtemp(prefix="liftweir-site-")
         build = os.environ.get("LIFTWEIR_BUILD", "build/release")
         self.fleet, self.net = Fleet(seed, net), net
         self.fleet.has_start_time = has_start_time
@@ -105,7 +105,7 @@
             ip = "127.%d.1.%d" % (net, n + 1)
             config = self.settings(ip, "control-%d" % (n + 1), tolerance)
             config.update(control="%s:%d" % (ip, CONTROL), metrics="%s:%d" % (ip, METRICS),
-                          data=os.path.join(self.folder, "data-%d" % (n + 1)))
+                          data=os.path.join(self.directory, "data-%d" % (n + 1)))
             self.add(self.controls, os.path.join(build, "liftweir-site-control"), config, proxy)
         for n in range(entries):
             ip = "127.%d.2.%d" % (net, n + 1)
@@ -133,7 +133,7 @@
         if proxy is not None and "control" in config:
             config["link_listen"] = "%s:%d" % (config["ip"], LINK + 1)
             proxy.tcp_at(config["name"], "%s:%d" % (config["ip"], LINK), config["link_listen"])
-        group.append(Process(program, config, self.folder, config["name"]))
+        group.append(Process(program, config, self.directory, config["name"]))
 
     def entry_ip(self, number=0):
         return self.entries[number].config["ip"]
@@ -153,7 +153,7 @@
         for process in self.controls + self.entries:
             if process.running():
                 process.kill()
-        shutil.rmtree(self.folder, ignore_errors=True)
+        shutil.rmtree(self.directory, ignore_errors=True)
 
     # ---- the operator
 
@@ -231,7 +231,7 @@
 
     # ---- callers
 
-    async def ask(self, route, entry=0, key="key-1", timeout=6.0, body=b"body"):
+    async def send_request(self, route, entry=0, key="key-1", timeout=6.0, body=b"body"):
         """Sends one request and checks the response. Returns its status; 0 for no response."""
         request = "%016x" % self.fleet.random.getrandbits(64)
         headers = {"Host": "site.example", "Request-Id": request, "Model": "m",
@@ -243,13 +243,13 @@
         sent = self.fleet.sent[request] = time.monotonic()
         address = "127.%d.2.%d:%d" % (self.net, entry + 1, CALLERS)
         try:
-            status, got, answer = await http1.call(address, "POST", "/%s/x" % route, headers, body,
+            status, got, content = await http1.call(address, "POST", "/%s/x" % route, headers, body,
                                                    timeout)
         except http1.IncompleteResponse as broken:
             if isinstance(broken, http1.TruncatedResponse):
                 self.truncated.append(request)
             return 0
-        self.check(route, request, key, sent, status, got, answer)
+        self.check(route, request, key, sent, status, got, content)
         if status == 503:
             self.fleet.retry_after.append((time.monotonic(), float(got.get("retry-after", "0"))))
         return status
@@ -294,15 +294,15 @@
                      if line.startswith(name + " ")), 0.0)
 
     async def until(self, condition, timeout_s=15):
-        end = time.monotonic() + timeout_s
-        while time.monotonic() < end:
+        deadline = time.monotonic() + timeout_s
+        while time.monotonic() < deadline:
             if await condition():
                 return True
             await asyncio.sleep(0.1)
         return False
 
     async def serves(self, route="chat", entry=0):
-        return await self.ask(route, entry) == 200
+        return await self.send_request(route, entry) == 200
 
     def open_groups(self):
         return sum(1 for w in self.endpoints
--- a/tests/site/soak.py
+++ b/tests/site/soak.py
@@ -20,8 +20,8 @@
 
 sys.path.insert(0, os.path.join(os.path.dirname(__file__), "..", "faults"))
 
-for folder in ("..", "../faults"):
-    sys.path.insert(0, os.path.join(os.path.dirname(__file__), folder))
+for directory in ("..", "../faults"):
+    sys.path.insert(0, os.path.join(os.path.dirname(__file__), directory))
 
 import knownred  # noqa: E402
 from proxy import FaultProxy  # noqa: E402
@@ -244,7 +244,7 @@
         if await self.site.put_document(20):
             await self.site.revoke(key)
         for _ in range(8):
-            await self.site.ask("look", self.random.randrange(len(self.site.entries)), key)
+            await self.site.send_request("look", self.random.randrange(len(self.site.entries)), key)
             await asyncio.sleep(1)
 
     async def run(self, seconds):
@@ -278,7 +278,7 @@
     while not stop.is_set():
         turn += 1
         route = ("chat", "chat", "save", "look")[turn % 4]
-        status = await site.ask(route, turn % len(site.entries), timeout=4.0)
+        status = await site.send_request(route, turn % len(site.entries), timeout=4.0)
         counts[status] = counts.get(status, 0) + 1
         await asyncio.sleep(0.02 if status else 0.1)
 
@@ -330,7 +330,7 @@
         if broken:
             kept_logs = "/tmp/liftweir-soak-%d" % seed
             shutil.rmtree(kept_logs, ignore_errors=True)
-            shutil.copytree(site.folder, kept_logs)
+            shutil.copytree(site.directory, kept_logs)
         print("seed %d: %s; answers %s; %d faults%s" % (
             seed, "BROKEN" if broken else "good", dict(sorted(counts.items())), len(schedule.log),
             "".join("\n  " + line for line in broken[:8] + (schedule.log if broken else []))),
--- a/tests/site/standin.py
+++ b/tests/site/standin.py
@@ -115,10 +115,10 @@
 
     def base_report(self):
         """The fields that every report holds."""
-        word = {"service": self.service, "address": self.address, "zone": "z1", "slots": 48,
-                "version": "v1", "cold-remaining-ms": 0, "state": self.state,
-                "sequence": self.sequence}
-        return {**word, "born": self.born} if self.fleet.has_start_time else word
+        fields = {"service": self.service, "address": self.address, "zone": "z1", "slots": 48,
+                  "version": "v1", "cold-remaining-ms": 0, "state": self.state,
+                  "sequence": self.sequence}
+        return {**fields, "born": self.born} if self.fleet.has_start_time else fields
 
     async def report(self):
         self.sequence += 1
@@ -147,21 +147,21 @@
             await asyncio.sleep(3600)
         self.writers = {w for w in self.writers if not w.transport.is_closing()} | {writer}
         if headers.get("target-instance", self.id) != self.id:
-            return self.answer(writer, 421, {"Instance-Id": self.id})
+            return self.respond(writer, 421, {"Instance-Id": self.id})
         if path == "/report":
             state = {"born": self.born, "sequence": self.orders}
             if self.group:
                 state["group"] = {k: self.group[k] for k in ("name", "epoch", "rank", "state")}
-            return self.answer(writer, 200, {}, json.dumps(state).encode())
+            return self.respond(writer, 200, {}, json.dumps(state).encode())
         if path == "/order":
             order = json.loads(body)
             if self.delay_orders:
                 asyncio.get_running_loop().call_later(self.delay_orders, self.accept_order, order)
                 await asyncio.sleep(3600)
-            return self.answer(writer, self.accept_order(order))
+            return self.respond(writer, self.accept_order(order))
         await self.request(method, path, headers, body, writer)
 
-    def answer(self, writer, status, headers=None, body=b""):
+    def respond(self, writer, status, headers=None, body=b""):
         writer.write(http1.head("HTTP/1.1 %d X" % status,
                                 {"Content-Length": str(len(body)), **(headers or {})}) + body)
 
@@ -252,9 +252,9 @@
                                             time.monotonic())
         if self.domain:
             if not self.group or self.group["rank"] != 0:
-                return self.answer(writer, 421, {"Instance-Id": self.id})
+                return self.respond(writer, 421, {"Instance-Id": self.id})
             if self.group["state"] != "open":
-                return self.answer(writer, 503, {"Not-Executed": "1"})
+                return self.respond(writer, 503, {"Not-Executed": "1"})
             group_members = tuple(self.group["members"])
             for member in group_members:
                 other = self.fleet.endpoints.get(member)
@@ -262,7 +262,7 @@
                     self.fleet.break_rule("partial group", "member %s was never ready" % member)
         if self.backoff_s:
             self.fleet.backoffs.append((time.monotonic(), self.id, request, self.backoff_s))
-            return self.answer(writer, 503, {"Not-Executed": "1",
+            return self.respond(writer, 503, {"Not-Executed": "1",
                                              "Retry-After": str(self.backoff_s)})
         self.fleet.runs.setdefault(request, []).append((time.monotonic(), self.id))
         self.fleet.keys[request] = headers.get("tenant-id")
@@ -276,10 +276,10 @@
         if path.startswith("/feed/"):
             return await self.stream(int(headers.get("last-event-id", "0")), own, writer)
         if not self.domain:
-            answer = b"done:" + request.encode()
+            respond = b"done:" + request.encode()
             await self.work(request, self.fleet.work_s, writer)
-            self.fleet.signatures[signature] = answer
-            return self.answer(writer, 200, own, answer)
+            self.fleet.signatures[signature] = respond
+            return self.respond(writer, 200, own, respond)
         await self.stream(int(headers.get("last-event-id", "0")), own, writer)
 
     async def run_poison(self, request, writer):
--- a/tests/site/test_leaving.py
+++ b/tests/site/test_leaving.py
@@ -73,7 +73,7 @@
 def test_unread_requests_of_disconnected_callers_reach_no_endpoint():
     async def scenario(site):
         for route in ("look", "feed", "chat") * 2:
-            assert await site.ask(route) == 200
+            assert await site.send_request(route) == 200
         site.entries[0].send(signal.SIGSTOP)
         callers = [await DisconnectingCaller(site, route).send()
                    for route in ("look", "save", "feed", "chat") * 10]
@@ -84,7 +84,7 @@
         site.entries[0].send(signal.SIGCONT)
         await asyncio.sleep(1.0)
         assert sum(caller.runs() for caller in callers) == 0
-        assert await site.ask("look") == 200
+        assert await site.send_request("look") == 200
 
     run_scenario(scenario)
 
@@ -129,7 +129,7 @@
         assert await site.until(lambda: _refused(site))
 
     async def _refused(site):
-        return await site.ask("chat") == 503
+        return await site.send_request("chat") == 503
 
     run_scenario(scenario)
 
--- a/tests/site/test_limited.py
+++ b/tests/site/test_limited.py
@@ -5,6 +5,8 @@
 
 from test_site import run_scenario
 
+# SPREAD_S: by then all entry hosts know the limit. IN_FLIGHT_S: requests sent before a header arrived
+# reach the endpoint by then. The limit holds on average over WINDOW_S, up to OVERSHOOT and SLACK.
 SPREAD_S, IN_FLIGHT_S, WINDOW_S = 3.0, 0.5, 4.0
 OVERSHOOT, SLACK = 1.5, 5
 
@@ -35,18 +37,18 @@
 
     def __init__(self, site, route, per_second, weights, seed=1):
         self.site, self.route, self.per_second, self.weights = site, route, per_second, weights
-        self.random, self.asked, self.statuses = random.Random(seed), [], []
+        self.random, self.tasks, self.statuses = random.Random(seed), [], []
 
-    async def ask(self, entry):
-        self.statuses.append(await self.site.ask(self.route, entry, timeout=3))
+    async def send_request(self, entry):
+        self.statuses.append(await self.site.send_request(self.route, entry, timeout=3))
 
     async def run(self, seconds):
         until = time.monotonic() + seconds
         while time.monotonic() < until:
             entry = self.random.choices(range(len(self.weights)), self.weights)[0]
-            self.asked.append(asyncio.ensure_future(self.ask(entry)))
+            self.tasks.append(asyncio.ensure_future(self.send_request(entry)))
             await asyncio.sleep(self.random.expovariate(self.per_second))
-        await asyncio.gather(*self.asked)
+        await asyncio.gather(*self.tasks)
 
 
 def check_limit(site, endpoint, limit, announced_at):
--- a/tests/site/test_poisonous.py
+++ b/tests/site/test_poisonous.py
@@ -16,18 +16,19 @@
     return [at for at in fleet.poison_runs if at > fleet.crashes[2] + SPREAD_S]
 
 
-async def send_poison(site, seconds, ask_every=0.25):
+async def send_poison(site, seconds, interval_s=0.25):
     """Sends the poisonous request at a fixed interval, at each entry host in turn, whatever the
     outcome of the earlier attempts."""
     until = time.monotonic() + seconds
-    asked = []
+    tasks = []
     number = 0
     while time.monotonic() < until:
         number += 1
         entry = number % len(site.entries)
-        asked.append(asyncio.ensure_future(site.ask("chat", entry, timeout=2, body=POISON)))
-        await asyncio.sleep(ask_every)
-    return await asyncio.gather(*asked)
+        tasks.append(asyncio.ensure_future(
+            site.send_request("chat", entry, timeout=2, body=POISON)))
+        await asyncio.sleep(interval_s)
+    return await asyncio.gather(*tasks)
 
 
 async def ordinary_callers(site, stop, statuses):
@@ -35,7 +36,7 @@
     number = 0
     while not stop.is_set():
         number += 1
-        statuses.append(await site.ask("chat", number % len(site.entries), timeout=2))
+        statuses.append(await site.send_request("chat", number % len(site.entries), timeout=2))
         await asyncio.sleep(0.03)
 
 
@@ -89,11 +90,12 @@
 def test_a_call_that_may_run_once_is_not_reported_as_refused_after_it_was_aborted():
     async def scenario(site):
         site.fleet.poison, site.fleet.poison_prefill_s = POISON, 0.15
-        asked = []
+        tasks = []
         for n in range(20):
-            asked.append(asyncio.ensure_future(site.ask("save", n % 2, timeout=2, body=POISON)))
+            tasks.append(asyncio.ensure_future(
+                site.send_request("save", n % 2, timeout=2, body=POISON)))
             await asyncio.sleep(0.07)
-        statuses = await asyncio.gather(*asked)
+        statuses = await asyncio.gather(*tasks)
         assert 503 in statuses and 200 not in statuses
         assert statuses.count(502) > len(site.fleet.crashes), "no call was aborted after sending"
         assert len(site.fleet.crashes) == 3
@@ -123,13 +125,13 @@
 def test_a_request_aborted_by_bad_links_is_not_quarantined_for_long():
     async def scenario(site):
         site.fleet.aborted_body = b"asked over bad links"
-        asked = [await site.ask("chat", n % 2, timeout=2, body=site.fleet.aborted_body)
+        tasks = [await site.send_request("chat", n % 2, timeout=2, body=site.fleet.aborted_body)
                  for n in range(6)]
-        assert 200 not in asked
+        assert 200 not in tasks
         site.fleet.aborted_body, body = None, site.fleet.aborted_body
 
         async def answered():
-            return await site.ask("chat", 1, timeout=2, body=body) == 200
+            return await site.send_request("chat", 1, timeout=2, body=body) == 200
 
         assert await site.until(answered, 5)
         assert await quarantined(site) == [0] * len(site.controls + site.entries)
@@ -140,7 +142,7 @@
 def test_endpoints_that_restart_under_the_same_id_release_no_request():
     async def scenario(site):
         site.fleet.poison = POISON
-        await send_poison(site, 12, ask_every=2.2)
+        await send_poison(site, 12, interval_s=2.2)
         assert len(site.fleet.crashes) >= 3, "it crashed fewer than three endpoints"
         assert len(late_runs(site.fleet)) <= LATE_RUNS_MAX, "%d crashes" % len(site.fleet.crashes)
         assert set(await quarantined(site)) == {1}
--- a/tests/site/test_resting.py
+++ b/tests/site/test_resting.py
@@ -4,6 +4,7 @@
 from test_limited import Load, limited_endpoints
 from test_site import run_scenario
 
+# Requests sent before the rejection arrived reach the endpoint within IN_FLIGHT_S.
 IN_FLIGHT_S, MOST_DURING_BACKOFF = 0.5, 2
 
 
--- a/tests/site/test_site.py
+++ b/tests/site/test_site.py
@@ -32,8 +32,8 @@
         for route in ("chat", "save", "look"):
             for entry in (0, 1):
                 assert await site.until(lambda r=route, e=entry: site.serves(r, e))
-        assert await site.ask("chat", key="nobody's") == 401
-        assert await site.ask("nowhere") == 404
+        assert await site.send_request("chat", key="nobody's") == 401
+        assert await site.send_request("nowhere") == 404
         assert set(site.fleet.keys.values()) == {"big"}
         status, _, _ = await http1.call("%s:%d" % (site.entry_ip(), READY), "GET", "/readyz")
         assert status == 200
@@ -46,9 +46,9 @@
 def test_streams_of_a_plain_service_have_no_stall_detection():
     async def scenario(site):
         for _ in range(4):
-            assert await site.ask("feed") == 200
+            assert await site.send_request("feed") == 200
         await asyncio.sleep(1.5)
-        assert await site.ask("feed") == 200
+        assert await site.send_request("feed") == 200
         assert "stalled" not in open(site.entries[0].log).read()
 
     run_scenario(scenario)
@@ -57,7 +57,7 @@
 def test_a_stream_resumes_at_another_group_when_a_member_is_lost():
     async def scenario(site):
         assert await site.until(lambda: asyncio.sleep(0, site.open_groups() >= 3))
-        streams = [asyncio.ensure_future(site.ask("chat", n % 2)) for n in range(16)]
+        streams = [asyncio.ensure_future(site.send_request("chat", n % 2)) for n in range(16)]
         await asyncio.sleep(0.1)
         lead = next(w for w in site.endpoints if w.group and w.group["state"] == "open")
         site.fleet.endpoints[lead.group["members"][1]].unresponsive = True
@@ -75,7 +75,7 @@
         ids = set(lead.group["members"]) - {lead.id}
 
         async def regrouped():
-            await asyncio.gather(*(site.ask("chat", n % 2, timeout=2) for n in range(6)))
+            await asyncio.gather(*(site.send_request("chat", n % 2, timeout=2) for n in range(6)))
             return all(site.fleet.endpoints[i].group is None or
                        site.fleet.endpoints[i].group["epoch"] != lead.group["epoch"] for i in ids)
 
@@ -126,7 +126,7 @@
         for n, body in enumerate(writer.bodies(plain)):
             for name in ("x-%d" % n, plain.id):
                 taken.append(await writer.write(name, body))
-            assert await site.ask("look", n % 2) == 200
+            assert await site.send_request("look", n % 2) == 200
         writer.stop()
         assert not any(taken), taken
         assert not plain.unresponsive and await site.serves("look")
@@ -143,7 +143,7 @@
         await plain.report()
         until = time.monotonic() + 3
         while time.monotonic() < until:
-            await site.ask("look")
+            await site.send_request("look")
         assert plain.id in site.fleet.leaving
 
     run_scenario(scenario)
@@ -151,7 +151,7 @@
 
 def test_a_revoked_key_is_rejected_and_no_older_version_is_read():
     async def scenario(site):
-        assert await site.ask("look", key="key-3") == 200
+        assert await site.send_request("look", key="key-3") == 200
         await site.revoke("key-3")
         assert await site.until(lambda: _status_is(site, "look", "key-3", 401), 3)
         assert await site.read_document() == site.acked
@@ -160,7 +160,7 @@
 
 
 async def _status_is(site, route, key, status):
-    return await site.ask(route, key=key) == status
+    return await site.send_request(route, key=key) == status
 
 
 def test_acknowledged_settings_survive_two_lost_disks_and_a_restart_of_all():
@@ -188,7 +188,7 @@
         for process in site.entries:
             process.start()
         assert await site.until(lambda: _listens(site.entry_ip(), CALLERS))
-        early = [asyncio.ensure_future(site.ask("look")) for _ in range(5)]
+        early = [asyncio.ensure_future(site.send_request("look")) for _ in range(5)]
         await asyncio.sleep(0.2)
         for process in site.controls:
             process.start()
@@ -262,7 +262,7 @@
 
 def test_an_entry_host_that_receives_sigterm_truncates_no_response():
     async def scenario(site):
-        streams = [asyncio.ensure_future(site.ask("chat")) for _ in range(10)]
+        streams = [asyncio.ensure_future(site.send_request("chat")) for _ in range(10)]
         await asyncio.sleep(0.05)
         site.entries[0].send(signal.SIGTERM)
         assert await asyncio.gather(*streams) == [200] * 10
@@ -278,13 +278,13 @@
         site.fleet.event_s = 0.1
         leaving = site.entries[0]
         leaving.send(signal.SIGTERM)
-        asked = []
+        tasks = []
         while leaving.running():
-            asked.append(asyncio.ensure_future(site.ask("feed")))
+            tasks.append(asyncio.ensure_future(site.send_request("feed")))
             await asyncio.sleep(0.05)
-        statuses = await asyncio.gather(*asked)
+        statuses = await asyncio.gather(*tasks)
         assert site.truncated == [], \
-            "%d of %d responses were truncated" % (len(site.truncated), len(asked))
+            "%d of %d responses were truncated" % (len(site.truncated), len(tasks))
         assert leaving.popen.wait() == 0
         assert statuses.count(200) > 20
         assert set(statuses) <= {200, 503, 0}
@@ -355,7 +355,7 @@
         lead.unresponsive = True
         until = time.monotonic() + 6
         while time.monotonic() < until:
-            await asyncio.gather(*(site.ask("chat", n % 2, timeout=2) for n in range(4)))
+            await asyncio.gather(*(site.send_request("chat", n % 2, timeout=2) for n in range(4)))
         for endpoint in site.endpoints:
             endpoint.delay_orders = 0
         assert await site.until(site.serves)
@@ -385,8 +385,8 @@
         until = time.monotonic() + 4
         while time.monotonic() < until:
             for route in ("chat", "look", "save"):
-                assert await site.ask(route, entry=0) == 200
-                assert await site.ask(route, entry=1) == 200
+                assert await site.send_request(route, entry=0) == 200
+                assert await site.send_request(route, entry=1) == 200
             assert lead.group == group, "the group of the running lead changed"
         assert orders == {w.address: (w.id, w.fence) for w in site.endpoints}
         served = {endpoint for _, endpoint in site.fleet.arrivals}
@@ -410,7 +410,7 @@
                 await http1.call(control, "POST", "/Instances.Heartbeat/" + old,
                                  body=json.dumps(body).encode())
         while plain.id not in {endpoint for _, endpoint in site.fleet.arrivals}:
-            assert await site.ask("look") == 200
+            assert await site.send_request("look") == 200
             assert time.monotonic() - begun < 1.0, "the new incarnation got no request"
 
     run_scenario(scenario)
