--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -23,7 +23,8 @@
 
 def one_size(groups, changes_per_second=0):
     settings = {"placement/loads_at_once": 16, "models/archive/replicas": groups}
-    with Cluster(entries=4, domains=(GROUP_SIZE,) * groups, services=0, pooled=True, settings=settings) as c:
+    with Cluster(entries=4, domains=(GROUP_SIZE,) * groups, services=0, pooled=True,
+                 settings=settings) as c:
         c.wait_serving(groups, 120)
         time.sleep(2)
         ticket = c.rpc("observe.ticket", {"valid_ms": 600000})["ticket"]
--- a/bench/control.py
+++ b/bench/control.py
@@ -23,7 +23,7 @@
                 ["in force ms", quantile(in_force, .5), quantile(in_force, .99), max(in_force)]]
         table("300 changes of settings, 3 control, 4 entry, 24 agents", ["what", "p50", "p99", "max"],
               rows)
-        # With an entry host paused, a change waits until the settings lease of that host expires.
+        # With one entry host paused, a change waits until the lease of that host expires.
         c.processes["entry-4"].pause()
         paused_ms = [c.set("once/answer_bytes", 20000 + n)["in_force_ms"] for n in range(10)]
         c.processes["entry-4"].resume()
--- a/models/takeover.pml
+++ b/models/takeover.pml
@@ -6,8 +6,8 @@
  * endpoints. Orders and their responses are delivered at any time, or never; an endpoint rejects a
  * fence lower than the highest it has seen. One group of each term suffices: g1 is the first
  * leader's, g2 the second's, and g2 is ordered only when the rule says that its endpoints are free.
- * State reports are not modelled: the rule uses only responses to orders, so it holds for reports of
- * any age.
+ * State reports are not modelled: the rule uses only responses to orders, so it holds for reports
+ * of any age.
  *
  * Mutations: ORDER_FIRST (orders are sent before the log has the group), MEMBER_FIRST (the member
  * of an earlier group gets an order before its lead has responded), ADOPT (the second leader opens
--- a/tests/site/test_limited.py
+++ b/tests/site/test_limited.py
@@ -5,8 +5,9 @@
 
 from test_site import run_scenario
 
-# SPREAD_S: by then all entry hosts know the limit. IN_FLIGHT_S: requests sent before a header arrived
-# reach the endpoint by then. The limit holds on average over WINDOW_S, up to OVERSHOOT and SLACK.
+# All entry hosts know a limit after SPREAD_S, and requests that were sent before an entry host knew
+# it have arrived after IN_FLIGHT_S. In a window of WINDOW_S at most OVERSHOOT times the limit, plus
+# SLACK requests, may arrive.
 SPREAD_S, IN_FLIGHT_S, WINDOW_S = 3.0, 0.5, 4.0
 OVERSHOOT, SLACK = 1.5, 5
 
