--- a/src/connection/channel.cpp
+++ b/src/connection/channel.cpp
@@ -1,3 +1,5 @@
+// Sends requests on a client connection and parses the responses with http_parser.
+
 #include "connection/channel.h"
 
 #include "connection/link.h"
@@ -9,21 +11,23 @@
 
 namespace {
 
-// Endpoints that name no time in Keep-Alive are known to keep a connection at least this long.
-constexpr Duration DefaultKeep = std::chrono::seconds(4);
-// Closed this much before the endpoint would, so that requests seldom meet its close.
-constexpr Duration KeepMargin = std::chrono::milliseconds(700);
+// Endpoints that send no timeout in Keep-Alive keep an idle connection open at least this long.
+constexpr Duration DefaultKeepAlive = std::chrono::seconds(4);
+// An idle connection is closed this long before the endpoint would close it, so that requests
+// rarely race with that close.
+constexpr Duration KeepAliveMargin = std::chrono::milliseconds(700);
 constexpr std::size_t MaxHeadBytes = 64u << 10;
-// A dead peer acknowledges nothing; a healthy one does so within a round trip.
-constexpr Duration SilenceLimit = std::chrono::milliseconds(8000);
+// TCP_USER_TIMEOUT: a peer that has failed acknowledges nothing; a healthy one acknowledges
+// within a round trip.
+constexpr Duration UnacknowledgedTimeout = std::chrono::milliseconds(8000);
 
-// How long the endpoint keeps the connection at rest, by its own word where it gave one.
-Duration kept_by_endpoint(const HttpResponseHead& head) {
+// How long the endpoint keeps an idle connection open: its Keep-Alive timeout, or the default.
+Duration keep_alive_of(const HttpResponseHead& head) {
     constexpr std::string_view Timeout = "timeout=";
     const std::string_view value = find_header(head.headers, "keep-alive");
     const auto at = value.find(Timeout);
     if (at == std::string_view::npos)
-        return DefaultKeep;
+        return DefaultKeepAlive;
     return std::chrono::seconds(std::atoi(std::string(value.substr(at + Timeout.size())).c_str()));
 }
 
@@ -52,7 +56,7 @@
         self->connected_ = true;
         asio::error_code ignored;
         self->socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
-        set_silence_limit(self->socket_, SilenceLimit);
+        set_user_timeout(self->socket_, UnacknowledgedTimeout);
         if (self->events_.on_connected)
             self->events_.on_connected();
         if (self->closed_)
@@ -88,7 +92,7 @@
 void Channel::write_request() {
     asio::async_write(socket_, asio::buffer(out_),
                       [self = shared_from_this()](asio::error_code error, std::size_t) {
-                          // The reader sees the same break, after what had arrived before it.
+                          // The reader sees the same error, after the bytes that arrived before it.
                           if (!error)
                               self->written_ = true;
                       });
@@ -160,7 +164,7 @@
                                     self->on_read_error(error);
                                     return;
                                 }
-                                self->take({self->in_.data(), bytes});
+                                self->on_bytes({self->in_.data(), bytes});
                                 self->read_more();
                             });
 }
@@ -170,9 +174,9 @@
     read_more();
 }
 
-// Bytes while no call is under way belong to no answer: whatever follows them could not be told
-// apart, so the connection goes.
-void Channel::take(std::string_view bytes) {
+// Bytes that arrive while no call is in progress belong to no response. A later response could not
+// be told from them, so the connection is closed.
+void Channel::on_bytes(std::string_view bytes) {
     if (!active_) {
         close();
         return;
@@ -188,7 +192,7 @@
         if (skip_informational())
             continue;
         if (message_complete_) {
-            complete(bytes.empty() ? BootClock::now() + kept_by_endpoint(head_) - KeepMargin
+            complete(bytes.empty() ? BootClock::now() + keep_alive_of(head_) - KeepAliveMargin
                                    : Time{});
             return;
         }
@@ -199,7 +203,7 @@
     }
 }
 
-// The answer proper follows on a head of 1xx.
+// Skips an informational (1xx) head; the final response follows it.
 bool Channel::skip_informational() {
     if (!message_complete_ || status_class(static_cast<int>(parser_.status_code)) != 1)
         return false;
@@ -213,8 +217,8 @@
     end(CallEnd::Complete);
 }
 
-// An answer without a length ends with its connection, but only with a proper close: after a
-// reset, part of it may be missing.
+// The end of the connection ends a response without a length, but only if it is an orderly close:
+// after a reset, part of the response may be missing.
 void Channel::on_read_error(asio::error_code error) {
     if (!active_) {
         close();
@@ -243,24 +247,24 @@
         return;
     const auto self = shared_from_this();
     const CallEvents events = std::exchange(events_, {});
-    const auto keeper = keeper_.lock();
-    if (how == CallEnd::Complete && reusable() && keeper)
-        keeper->keep(self);
+    const auto owner = owner_.lock();
+    if (how == CallEnd::Complete && reusable() && owner)
+        owner->on_idle(self);
     else
         close();
     if (events.on_end)
         events.on_end(how, bytes_seen_);
 }
 
-// A connection may serve the next call already when the last one is cancelled. The reset drops what
-// waits in this host's send buffer, and can not be taken for a half close, upon which an endpoint
-// may work on.
+// The number guards against a connection that already serves the next call when the last one is
+// cancelled. The reset discards what waits in this host's send buffer, and unlike a half close it
+// can not leave the endpoint working on the request.
 void Channel::cancel(std::uint64_t call) {
     if (call != call_ || !std::exchange(active_, false))
         return;
     asio::error_code ignored;
     socket_.set_option(asio::socket_base::linger(true, 0), ignored);
-    // Released from the loop: this may run within one of the call's own events.
+    // Released in a later iteration of the event loop: this may run within one of the callbacks.
     asio::post(socket_.get_executor(), [self = shared_from_this()] { self->events_ = {}; });
     close();
 }
@@ -271,8 +275,8 @@
     asio::error_code ignored;
     timer_.cancel();
     socket_.close(ignored);
-    if (const auto keeper = keeper_.lock())
-        keeper->drop(shared_from_this());
+    if (const auto owner = owner_.lock())
+        owner->on_closed(shared_from_this());
 }
 
 } // namespace liftweir
--- a/src/connection/channel.h
+++ b/src/connection/channel.h
@@ -1,3 +1,5 @@
+// Client side of one HTTP/1.1 connection to an endpoint. The pool in httpchannel.h owns these.
+
 #ifndef CHANNEL_H_INCLUDED
 #define CHANNEL_H_INCLUDED
 
@@ -21,33 +23,33 @@
 class Channel;
 using ChannelPtr = std::shared_ptr<Channel>;
 
-// Keeps connections between calls.
-class ChannelKeeper {
+// Owner of the idle connections.
+class ChannelOwner {
   public:
-    virtual ~ChannelKeeper() = default;
-    // The connection may serve another call.
-    virtual void keep(const ChannelPtr& channel) = 0;
-    // The connection is closed.
-    virtual void drop(const ChannelPtr& channel) = 0;
+    virtual ~ChannelOwner() = default;
+    // The connection has become idle and may be used for another call.
+    virtual void on_idle(const ChannelPtr& channel) = 0;
+    // The connection was closed and must not be used any more.
+    virtual void on_closed(const ChannelPtr& channel) = 0;
 };
 
-// One connection to an endpoint, and the call that is under way on it, if any.
+// One connection to an endpoint and the call in progress on it, if any.
 class Channel : public std::enable_shared_from_this<Channel> {
   public:
-    Channel(asio::io_context& io, std::weak_ptr<ChannelKeeper> keeper, std::string address)
-        : socket_(io), timer_(io), keeper_(std::move(keeper)), address_(std::move(address)) {}
+    Channel(asio::io_context& io, std::weak_ptr<ChannelOwner> owner, std::string address)
+        : socket_(io), timer_(io), owner_(std::move(owner)), address_(std::move(address)) {}
 
-    // The call that was begun before this is sent once there is a connection.
+    // Opens the connection. A call that was started before is sent once it is open.
     void connect(Duration timeout);
-    // Returns the number of the call, by which it is cancelled.
+    // Starts a call and returns its number, which identifies it for cancel().
     std::uint64_t begin(const HttpRequestHead& head, const std::string& body, CallEvents events);
-    // Closes the connection, unless the call is over already.
+    // Closes the connection, unless the call has already ended.
     void cancel(std::uint64_t call);
-    // Stops reading, and goes on with it.
+    // Stops and restarts reading of the response.
     void pause() { paused_ = true; }
     void resume();
     void close();
-    // The endpoint still keeps the connection, by what it has said.
+    // True if, by its Keep-Alive header, the endpoint has not yet closed the idle connection.
     bool usable(Time now) const { return !closed_ && now < keep_until_; }
     const std::string& address() const { return address_; }
 
@@ -62,7 +64,7 @@
 
     void write_request();
     void read_more();
-    void take(std::string_view bytes);
+    void on_bytes(std::string_view bytes);
     void on_read_error(asio::error_code error);
     bool skip_informational();
     void complete(Time keep_until);
@@ -71,9 +73,9 @@
 
     asio::ip::tcp::socket socket_;
     asio::steady_timer timer_;
-    std::weak_ptr<ChannelKeeper> keeper_; // gone when the process ends
+    std::weak_ptr<ChannelOwner> owner_; // expired once the pool is destroyed
     std::string address_;
-    std::uint64_t call_ = 0; // calls begun on this connection
+    std::uint64_t call_ = 0; // number of the last call that was started here
     http_parser parser_{};
     std::array<char, ReadBytes> in_{};
     std::string out_;
@@ -83,7 +85,7 @@
     CallEvents events_;
     Time keep_until_{};
     bool connected_ = false;
-    bool active_ = false; // a call is under way
+    bool active_ = false; // a call is in progress
     bool written_ = false;
     bool reading_ = false;
     bool paused_ = false;
--- a/src/connection/codec.h
+++ b/src/connection/codec.h
@@ -1,3 +1,5 @@
+// Encoding and decoding of messages and stored records as MessagePack.
+
 #ifndef CODEC_H_INCLUDED
 #define CODEC_H_INCLUDED
 
@@ -13,10 +15,10 @@
 
 namespace liftweir {
 
-// Largest encoded message; a snapshot of the control state has to fit into one.
+// Largest encoded message. A snapshot of the control state has to fit into one message.
 constexpr std::size_t MaxMessageBytes = 64u << 20;
 
-// Bounds on what a peer can make the decoder allocate.
+// Bounds on the memory and the recursion that a peer can make the decoder use.
 constexpr std::size_t MaxDecodedItems = 1u << 20;
 constexpr std::size_t MaxDecodeDepth = 24;
 
@@ -38,8 +40,8 @@
 
 } // namespace codec_detail
 
-// Encodes a variant as [index, fields]. Alternatives are only ever appended, and fields are only
-// ever appended to a struct, so that an older reader skips what it does not know.
+// Encodes a variant as [index, fields]. New alternatives are only appended to a variant and new
+// fields only to a struct, so that an older reader skips the ones that it does not know.
 template <typename... Ts>
 std::string encode(const std::variant<Ts...>& message) {
     msgpack::sbuffer buffer;
@@ -62,7 +64,7 @@
                                  MaxDecodedItems, MaxDecodeDepth);
 }
 
-// Fails with FailureKind::Decode on anything that is not exactly one message of this type.
+// Fails with FailureKind::Decode if the bytes are not exactly one message of this type.
 template <typename Variant>
 Expected<Variant> decode(std::string_view bytes) {
     try {
--- a/src/connection/httpchannel.cpp
+++ b/src/connection/httpchannel.cpp
@@ -1,3 +1,5 @@
+// The pool of client connections: which are idle, and which one a call uses.
+
 #include "connection/httpchannel.h"
 
 #include "connection/channel.h"
@@ -10,8 +12,8 @@
 
 namespace {
 
-// The connections that rest between calls, by address; the one used last is taken first.
-class Pool final : public ChannelKeeper, public std::enable_shared_from_this<Pool> {
+// Idle connections by address. The most recently used connection is reused first.
+class Pool final : public ChannelOwner, public std::enable_shared_from_this<Pool> {
   public:
     explicit Pool(asio::io_context& io) : io_(io) {}
 
@@ -22,19 +24,19 @@
     void forget_all();
     std::uint64_t opened() const { return opened_; }
 
-    void keep(const ChannelPtr& channel) override;
-    void drop(const ChannelPtr& channel) override;
+    void on_idle(const ChannelPtr& channel) override;
+    void on_closed(const ChannelPtr& channel) override;
 
   private:
-    ChannelPtr take_kept(const std::string& address);
+    ChannelPtr take_idle(const std::string& address);
 
     asio::io_context& io_;
-    std::map<std::string, std::deque<ChannelPtr>> kept_;
-    std::map<std::string, std::size_t> most_kept_; // by address, as the last call told
+    std::map<std::string, std::deque<ChannelPtr>> idle_;
+    std::map<std::string, std::size_t> max_idle_; // by address, from the last call's options
     std::uint64_t opened_ = 0;
 };
 
-// A caller's hold on its call, which may be over or on another connection by now.
+// The handle of a call. The call may have ended, and its connection may serve another call.
 class Handle final : public HttpCallHandle {
   public:
     Handle(const ChannelPtr& channel, std::uint64_t call) : channel_(channel), call_(call) {}
@@ -64,9 +66,9 @@
     std::uint64_t call_;
 };
 
-ChannelPtr Pool::take_kept(const std::string& address) {
-    const auto found = kept_.find(address);
-    if (found == kept_.end())
+ChannelPtr Pool::take_idle(const std::string& address) {
+    const auto found = idle_.find(address);
+    if (found == idle_.end())
         return nullptr;
     const Time now = BootClock::now();
     while (!found->second.empty()) {
@@ -82,53 +84,54 @@
 std::unique_ptr<HttpCallHandle> Pool::start(const std::string& address, const HttpRequestHead& head,
                                             const std::string& body, ChannelOptions options,
                                             CallEvents events) {
-    most_kept_[address] = options.max_idle_connections;
-    ChannelPtr channel = options.fresh ? nullptr : take_kept(address);
-    const bool kept = channel != nullptr;
-    if (!kept) {
+    max_idle_[address] = options.max_idle_connections;
+    ChannelPtr channel = options.fresh ? nullptr : take_idle(address);
+    const bool reused = channel != nullptr;
+    if (!reused) {
         channel = std::make_shared<Channel>(io_, weak_from_this(), address);
         ++opened_;
     }
     const std::uint64_t call = channel->begin(head, body, std::move(events));
-    if (!kept)
+    if (!reused)
         channel->connect(options.connect_timeout);
     return std::make_unique<Handle>(channel, call);
 }
 
-void Pool::keep(const ChannelPtr& channel) {
-    auto& channels = kept_[channel->address()];
+void Pool::on_idle(const ChannelPtr& channel) {
+    auto& channels = idle_[channel->address()];
     channels.push_back(channel);
-    if (channels.size() <= most_kept_[channel->address()])
+    if (channels.size() <= max_idle_[channel->address()])
         return;
     const ChannelPtr oldest = channels.front();
     channels.pop_front();
     oldest->close();
 }
 
-void Pool::drop(const ChannelPtr& channel) {
-    const auto found = kept_.find(channel->address());
-    if (found != kept_.end())
+void Pool::on_closed(const ChannelPtr& channel) {
+    const auto found = idle_.find(channel->address());
+    if (found != idle_.end())
         std::erase(found->second, channel);
 }
 
 void Pool::forget(const std::string& address) {
-    most_kept_.erase(address);
-    const auto found = kept_.find(address);
-    if (found == kept_.end())
+    max_idle_.erase(address);
+    const auto found = idle_.find(address);
+    if (found == idle_.end())
         return;
     const auto channels = std::move(found->second);
-    kept_.erase(found);
+    idle_.erase(found);
     for (const ChannelPtr& channel : channels)
         channel->close();
 }
 
 void Pool::forget_all() {
-    for (const auto& [address, channels] : std::exchange(kept_, {}))
+    for (const auto& [address, channels] : std::exchange(idle_, {}))
         for (const ChannelPtr& channel : channels)
             channel->close();
 }
 
-// Channels outlive their calls' owner by a turn of the loop, so they only know the pool weakly.
+// The pool that users hold. Connections may outlive it by one iteration of the event loop, so they
+// hold only a weak pointer to the Pool.
 class SharedPool final : public HttpChannelPool {
   public:
     explicit SharedPool(asio::io_context& io) : pool_(std::make_shared<Pool>(io)) {}
--- a/src/connection/httpchannel.h
+++ b/src/connection/httpchannel.h
@@ -1,3 +1,5 @@
+// HTTP/1.1 client over Asio with a pool of persistent connections, for calls from entry hosts.
+
 #ifndef HTTPCHANNEL_H_INCLUDED
 #define HTTPCHANNEL_H_INCLUDED
 
@@ -13,73 +15,76 @@
 
 namespace liftweir {
 
-// What a request begins with, as it goes to an endpoint.
+// Request line and headers of a request to an endpoint.
 struct HttpRequestHead {
     std::string method = "GET";
     std::string target = "/";
-    HttpHeaders headers; // with Host; framing headers are added
+    HttpHeaders headers; // must include Host; the connection adds the framing headers
 };
 
-// What an endpoint's answer begins with.
+// Status and headers of an endpoint's response.
 struct HttpResponseHead {
     int status = 0;
     HttpHeaders headers;
 };
 
-// How one call over a channel ended.
+// How one call ended.
 enum class CallEnd : unsigned char {
-    Complete,      // the whole answer arrived
-    ConnectFailed, // no byte of the request left
-    Broken,        // closed or reset before the answer was whole
-    Malformed      // the bytes are not an HTTP answer
+    Complete,      // the complete response arrived
+    ConnectFailed, // no byte of the request was sent
+    Broken,        // the connection was closed or reset before the response was complete
+    Malformed      // the bytes are not an HTTP response
 };
 
-// What a call tells whoever started it, in this order. Each may be left empty.
+// Callbacks of one call, in the order in which they are invoked. Each may be empty.
 struct CallEvents {
-    // A new connection is there, and nothing has left on it: a call that is cancelled here never
+    // A new connection is open and nothing has been sent on it: a call that is cancelled here never
     // reaches its endpoint.
     std::function<void()> on_connected;
     std::function<void(const HttpResponseHead&)> on_head;
     std::function<void(std::string_view)> on_body;
-    // Last event. `bytes_seen` tells whether any byte of an answer had arrived.
+    // Last callback. `bytes_seen` is true if any byte of a response arrived.
     std::function<void(CallEnd, bool bytes_seen)> on_end;
 };
 
-// One HTTP/1.1 call in progress. Dropping it without an end cancels the call: its connection is
-// reset, which is how an endpoint learns that nobody waits any more.
+// One HTTP/1.1 call in progress. Destroying the handle before the call has ended cancels the call:
+// its connection is reset, which shows the endpoint that the caller no longer waits.
 class HttpCallHandle {
   public:
     virtual ~HttpCallHandle() = default;
-    // Resets the connection at once: nothing of the request leaves any more. No event follows.
+    // Resets the connection at once: no further byte of the request is sent and no callback is
+    // invoked.
     virtual void cancel() = 0;
-    // Stops and restarts reading of the answer, to hold a fast endpoint back.
+    // Stops and restarts reading of the response, as flow control against a fast endpoint.
     virtual void pause() = 0;
     virtual void resume() = 0;
 };
 
-// How one call gets its connection.
+// Which connection one call uses.
 struct ChannelOptions {
     Duration connect_timeout = std::chrono::milliseconds(400);
-    // An endpoint may close a resting connection just as the next request leaves. What may not be
-    // repeated then has an unknown outcome, so it takes a connection of its own.
+    // Opens a new connection even if one is idle. An endpoint may close an idle connection just as
+    // the next request is sent, which leaves the outcome of that request unknown, so a request that
+    // must not be repeated uses a new connection.
     bool fresh = false;
-    // So many connections to this address may rest afterwards, this one among them.
+    // Largest number of idle connections to this address after the call, its own included.
     std::size_t max_idle_connections = 16;
 };
 
-// Connections to endpoints over Asio, kept between calls. A connection that brought more bytes
-// than its answers, or an answer before its request was read, is not used again.
+// Persistent connections to endpoints. A connection on which bytes arrived that belong to no
+// response, or a response before its request was written, is not used again.
 class HttpChannelPool {
   public:
     virtual ~HttpChannelPool() = default;
-    // Begins a call on a kept connection, or on a new one. No event comes before this returns.
+    // Starts a call on an idle connection or on a new one. No callback is invoked before this
+    // returns.
     virtual std::unique_ptr<HttpCallHandle> start(const std::string& address,
                                                   const HttpRequestHead& head,
                                                   const std::string& body, ChannelOptions options,
                                                   CallEvents events) = 0;
-    // Drops kept connections to an address, e.g. when another process has taken it over.
+    // Closes the idle connections to an address, e.g. after another process has taken it over.
     virtual void forget(const std::string& address) = 0;
-    // Connections opened since the start.
+    // Number of connections that were opened since the pool was created.
     virtual std::uint64_t opened() const = 0;
 };
 
--- a/src/connection/httpclient.cpp
+++ b/src/connection/httpclient.cpp
@@ -1,3 +1,5 @@
+// Drives libcurl's multi interface from the Asio event loop.
+
 #include "connection/httpclient.h"
 
 #include <curl/curl.h>
@@ -11,9 +13,9 @@
 
 namespace {
 
-// Engines and services sit on the agent's own host: a connect that takes longer has failed.
+// Engines and services run on the agent's own host: a connect that takes longer has failed.
 constexpr long ConnectTimeoutMs = 1000;
-constexpr long IdleConnections = 64;
+constexpr long MaxIdleConnections = 64;
 
 struct Transfer {
     HttpCallId id = 0;
@@ -21,7 +23,7 @@
     curl_slist* headers = nullptr;
     std::string body;
     HttpCallbacks callbacks;
-    bool head_told = false;
+    bool head_reported = false;
     bool connect_only = false;
 
     Transfer() = default;
@@ -33,15 +35,15 @@
     }
 };
 
-// A socket that libcurl asked to be watched. libcurl opens and closes it.
-struct Watched {
-    explicit Watched(asio::io_context& io, int fd) : descriptor(io, fd) {}
-    ~Watched() {
+// A socket that libcurl wants to be monitored. libcurl opens and closes it.
+struct WatchedSocket {
+    explicit WatchedSocket(asio::io_context& io, int fd) : descriptor(io, fd) {}
+    ~WatchedSocket() {
         if (descriptor.is_open())
             descriptor.release();
     }
-    Watched(const Watched&) = delete;
-    Watched& operator=(const Watched&) = delete;
+    WatchedSocket(const WatchedSocket&) = delete;
+    WatchedSocket& operator=(const WatchedSocket&) = delete;
 
     asio::posix::stream_descriptor descriptor;
     int wanted = 0;
@@ -57,7 +59,7 @@
         curl_multi_setopt(multi_, CURLMOPT_SOCKETDATA, this);
         curl_multi_setopt(multi_, CURLMOPT_TIMERFUNCTION, &CurlClient::on_timer);
         curl_multi_setopt(multi_, CURLMOPT_TIMERDATA, this);
-        curl_multi_setopt(multi_, CURLMOPT_MAXCONNECTS, IdleConnections);
+        curl_multi_setopt(multi_, CURLMOPT_MAXCONNECTS, MaxIdleConnections);
     }
 
     ~CurlClient() override {
@@ -95,7 +97,7 @@
         if (found == transfers_.end())
             return;
         curl_multi_remove_handle(multi_, found->second->easy);
-        // The transfer may be the one whose callback runs right now.
+        // Freed later: the transfer may be the one whose callback is running.
         asio::post(io_, [dead = std::shared_ptr<Transfer>(std::move(found->second))] {});
         transfers_.erase(found);
     }
@@ -128,8 +130,8 @@
         curl_easy_setopt(easy, CURLOPT_HTTPHEADER, t.headers);
     }
 
-    static void tell_head(Transfer& t) {
-        if (std::exchange(t.head_told, true) || !t.callbacks.on_head)
+    static void report_head(Transfer& t) {
+        if (std::exchange(t.head_reported, true) || !t.callbacks.on_head)
             return;
         long status = 0;
         const char* type = nullptr;
@@ -140,7 +142,7 @@
 
     static std::size_t on_write(char* data, std::size_t size, std::size_t count, void* user) {
         Transfer& t = *static_cast<Transfer*>(user);
-        tell_head(t);
+        report_head(t);
         if (!t.callbacks.on_data(std::string_view(data, size * count)))
             return CURL_WRITEFUNC_PAUSE;
         return size * count;
@@ -149,8 +151,9 @@
     static int on_socket(CURL* /*easy*/, curl_socket_t fd, int what, void* user, void* /*socket*/) {
         auto& client = *static_cast<CurlClient*>(user);
         if (what == CURL_POLL_REMOVE) {
-            // At once, and not when the last holder goes: libcurl may close the descriptor now and
-            // open a connection with the same number, whose watch a late release would take away.
+            // Released at once, not when the last shared pointer is destroyed: libcurl may close
+            // the descriptor now and open a connection with the same number, and a delayed release
+            // would end the monitoring of that new connection.
             const auto found = client.watched_.find(fd);
             if (found != client.watched_.end()) {
                 found->second->descriptor.release();
@@ -160,13 +163,13 @@
         }
         auto& watched = client.watched_[fd];
         if (!watched)
-            watched = std::make_shared<Watched>(client.io_, fd);
+            watched = std::make_shared<WatchedSocket>(client.io_, fd);
         watched->wanted = what;
         client.wait(watched, fd);
         return 0;
     }
 
-    void wait(const std::shared_ptr<Watched>& watched, curl_socket_t fd) {
+    void wait(const std::shared_ptr<WatchedSocket>& watched, curl_socket_t fd) {
         using Wait = asio::posix::stream_descriptor::wait_type;
         if ((watched->wanted & CURL_POLL_IN) != 0 && !watched->reading) {
             watched->reading = true;
@@ -178,17 +181,17 @@
         }
     }
 
-    void wait_for(const std::shared_ptr<Watched>& watched, curl_socket_t fd,
+    void wait_for(const std::shared_ptr<WatchedSocket>& watched, curl_socket_t fd,
                   asio::posix::stream_descriptor::wait_type type, int event) {
         watched->descriptor.async_wait(type, [this, alive = alive_,
-                                              weak = std::weak_ptr<Watched>(watched), fd,
+                                              weak = std::weak_ptr<WatchedSocket>(watched), fd,
                                               event](asio::error_code error) {
             const auto w = weak.lock();
             if (!*alive || !w || error == asio::error::operation_aborted)
                 return;
             (event == CURL_CSELECT_IN ? w->reading : w->writing) = false;
             if ((w->wanted & event) != 0)
-                act(fd, error ? CURL_CSELECT_ERR : event);
+                perform(fd, error ? CURL_CSELECT_ERR : event);
             const auto still = watched_.find(fd);
             if (still != watched_.end() && still->second == w)
                 wait(w, fd);
@@ -203,12 +206,12 @@
         client.timer_.expires_after(std::chrono::milliseconds(timeout_ms));
         client.timer_.async_wait([&client, alive = client.alive_](asio::error_code error) {
             if (!error && *alive)
-                client.act(CURL_SOCKET_TIMEOUT, 0);
+                client.perform(CURL_SOCKET_TIMEOUT, 0);
         });
         return 0;
     }
 
-    void act(curl_socket_t fd, int events) {
+    void perform(curl_socket_t fd, int events) {
         int running = 0;
         curl_multi_socket_action(multi_, fd, events, &running);
         int left = 0;
@@ -226,10 +229,10 @@
         const std::unique_ptr<Transfer> transfer = std::move(found->second);
         transfers_.erase(found);
         curl_multi_remove_handle(multi_, easy);
-        // Sent where a connection stood; a reused one may fail before a byte leaves, but that
-        // can not be told apart from one that failed after. A refused connection alone proves
-        // nothing: libcurl may have sent the request on a reused one before, and the size of what
-        // was sent counts both.
+        // The request counts as sent once a connection was open: a reused connection that fails
+        // before the first byte can not be told from one that fails after it. A refused connection
+        // alone proves nothing: libcurl may have sent the request on a reused connection before,
+        // and the number of bytes sent covers both.
         long bytes_sent = 0;
         curl_easy_getinfo(easy, CURLINFO_REQUEST_SIZE, &bytes_sent);
         const bool sent = result != CURLE_COULDNT_CONNECT || bytes_sent > 0;
@@ -252,7 +255,7 @@
                                         sent);
             return;
         }
-        tell_head(*transfer);
+        report_head(*transfer);
         long status = 0;
         curl_easy_getinfo(easy, CURLINFO_RESPONSE_CODE, &status);
         transfer->callbacks.on_done(static_cast<int>(status), true);
@@ -264,7 +267,7 @@
     std::shared_ptr<bool> alive_;
     HttpCallId next_id_ = 1;
     std::unordered_map<HttpCallId, std::unique_ptr<Transfer>> transfers_;
-    std::unordered_map<curl_socket_t, std::shared_ptr<Watched>> watched_;
+    std::unordered_map<curl_socket_t, std::shared_ptr<WatchedSocket>> watched_;
 };
 
 } // namespace
--- a/src/connection/httpclient.h
+++ b/src/connection/httpclient.h
@@ -1,3 +1,5 @@
+// HTTP client over libcurl, for calls from an agent to the endpoint on its own host.
+
 #ifndef HTTPCLIENT_H_INCLUDED
 #define HTTPCLIENT_H_INCLUDED
 
@@ -22,20 +24,20 @@
     std::vector<std::pair<std::string, std::string>> headers;
     std::string body;
     Duration timeout = std::chrono::seconds(10);
-    // libcurl silently repeats a request whose reused connection dies before the first byte of
-    // the answer. What may not be repeated therefore gets a connection of its own.
+    // libcurl silently repeats a request if the reused connection is closed before the first byte
+    // of the response. A request that must not be repeated therefore uses a new connection.
     bool repeatable = true;
-    // Asks only whether somebody listens; nothing is sent. Answered with status 0, with NoEndpoint
-    // where the connection was refused, and with Io where that is not known.
+    // Only checks whether a process listens; nothing is sent. Yields status 0 if the connection was
+    // accepted, NoEndpoint if it was refused, and Io if neither is known.
     bool connect_only = false;
 };
 
 struct HttpCallbacks {
     std::function<void(int status, const std::string& content_type)> on_head;
-    // Answers false to pause the transfer until resume().
+    // Returns false to pause the transfer until resume().
     std::function<bool(std::string_view bytes)> on_data;
-    // Status of a whole answer, or the failure. `sent` tells whether any byte of the request
-    // may have left.
+    // Status of a complete response, or the failure. `sent` is true if any byte of the request may
+    // have been sent.
     std::function<void(Expected<int> status, bool sent)> on_done;
 };
 
@@ -47,7 +49,7 @@
     virtual ~HttpClient() = default;
     virtual HttpCallId start(HttpCall call, HttpCallbacks callbacks) = 0;
     virtual void resume(HttpCallId id) = 0;
-    // Closes the connection; on_done is not told.
+    // Closes the connection; on_done is not called.
     virtual void cancel(HttpCallId id) = 0;
 };
 
--- a/src/connection/httpmessage.cpp
+++ b/src/connection/httpmessage.cpp
@@ -1,3 +1,5 @@
+// Comparison and assembly of HTTP headers.
+
 #include "connection/httpmessage.h"
 
 #include <http_parser.h>
@@ -51,7 +53,7 @@
     return false;
 }
 
-// The length belongs to this list too: whoever writes the next hop frames the body anew.
+// Content-Length counts as hop-by-hop too, since the sender on the next hop frames the body again.
 bool is_hop_by_hop(std::string_view name) {
     return std::any_of(HopByHop.begin(), HopByHop.end(),
                        [&](std::string_view hop) { return equals_ignoring_case(hop, name); });
--- a/src/connection/httpmessage.h
+++ b/src/connection/httpmessage.h
@@ -1,3 +1,5 @@
+// Helpers for HTTP headers and statuses, shared by the client and the server.
+
 #ifndef HTTPMESSAGE_H_INCLUDED
 #define HTTPMESSAGE_H_INCLUDED
 
@@ -14,19 +16,19 @@
 // ASCII comparison without regard to case, as header names need.
 bool equals_ignoring_case(std::string_view a, std::string_view b);
 
-// First value of a header; empty where it is missing.
+// First value of a header; empty if it is missing.
 std::string_view find_header(const HttpHeaders& headers, std::string_view name);
 
-// True where a comma-separated header value holds a token, without regard to case.
+// True if a comma-separated header value contains a token, without regard to case.
 bool has_token(std::string_view value, std::string_view token);
 
-// Headers that concern one connection only and are never passed on (RFC 9110, 7.6.1).
+// True for headers that concern one connection only and are never forwarded (RFC 9110, 7.6.1).
 bool is_hop_by_hop(std::string_view name);
 
-// Appends "name: value" lines, as a message's head has them.
+// Appends "name: value" lines to a message head.
 void append_headers(std::string& head, const HttpHeaders& headers);
 
-// Puts headers together from the pieces in which a parser delivers them.
+// Assembles headers from the pieces that the parser delivers.
 class HeaderAssembler {
   public:
     void add_name(HttpHeaders& headers, std::string_view piece);
@@ -36,7 +38,7 @@
     bool in_value_ = false; // the last piece belonged to a value, so the next name is a new header
 };
 
-// The usual reason phrase; "Unknown" for statuses without one.
+// The standard reason phrase; "Unknown" for statuses without one.
 std::string_view reason_of(int status);
 
 // First digit of a status: 2 for 2xx.
--- a/src/connection/httpserver.cpp
+++ b/src/connection/httpserver.cpp
@@ -1,3 +1,5 @@
+// Accepts connections, applies time limits and connects them with the request handler.
+
 #include "connection/httpserver.h"
 
 #include "connection/link.h"
@@ -11,14 +13,14 @@
 
 namespace {
 
-// Time limits are checked by one timer for all connections: a timer each would cost a wake-up for
-// every request.
-constexpr Duration SweepEvery = std::chrono::milliseconds(250);
+// One timer checks the time limits of all connections: a timer for each connection would cost a
+// wake-up for every request.
+constexpr Duration SweepInterval = std::chrono::milliseconds(250);
 constexpr int ListenBacklog = 512;
 
 using ReusePort = asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
 
-// One request of a connection, and its answer.
+// One request on a connection and its response.
 class Exchange final : public HttpExchange {
   public:
     Exchange(ConnectionPtr connection, RequestMessage message)
@@ -26,7 +28,7 @@
           message_(std::move(message)),
           received_(BootClock::now()) {}
     ~Exchange() override {
-        // Dropped without an answer: the caller must not wait for one.
+        // Destroyed without a response: the close tells the caller not to wait for one.
         if (!done_)
             connection_->close();
     }
@@ -73,7 +75,9 @@
         connection_->close();
     }
     std::optional<Time> left() const override { return connection_->left(); }
-    void on_disconnect(std::function<void()> gone) override { connection_->watch(std::move(gone)); }
+    void on_disconnect(std::function<void()> callback) override {
+        connection_->set_on_disconnect(std::move(callback));
+    }
 
   private:
     ConnectionPtr connection_;
@@ -82,8 +86,8 @@
     bool done_ = false;
 };
 
-// Accepts connections, and checks their time limits. The loop holds it for as long as it has work
-// for it, which may be after the server is gone.
+// Accepts connections and checks their time limits. Pending handlers of the event loop hold a
+// reference to it, so it may outlive the server.
 class Listener : public std::enable_shared_from_this<Listener> {
   public:
     Listener(std::shared_ptr<ServerCore> core, const std::string& address, AddressUse use)
@@ -91,8 +95,8 @@
         const auto endpoint = parse_address(address).value();
         acceptor_.open(endpoint.protocol());
         acceptor_.set_option(asio::ip::tcp::acceptor::reuse_address(true));
-        // Only where it is asked for: another process that is given the same address by mistake
-        // would get a part of the connections, and nobody would be told.
+        // Set only on request: otherwise another process that is given the same address by mistake
+        // would silently receive part of the connections.
         if (use == AddressUse::Shared)
             acceptor_.set_option(ReusePort(true));
         acceptor_.bind(endpoint);
@@ -121,12 +125,12 @@
                 if (error == asio::error::operation_aborted || !self->acceptor_.is_open())
                     return;
                 if (!error)
-                    self->take(std::move(socket));
+                    self->add_connection(std::move(socket));
                 self->accept();
             });
     }
-    // Beyond the bound a new connection is closed at once: its caller tries another host.
-    void take(asio::ip::tcp::socket socket) {
+    // Closes a new connection at once if there are too many, so that its caller tries another host.
+    void add_connection(asio::ip::tcp::socket socket) {
         if (core_->connections.size() >= core_->limits.connections)
             return;
         const auto connection = std::make_shared<ServerConnection>(std::move(socket), core_);
@@ -134,7 +138,7 @@
         connection->start();
     }
     void sweep_later() {
-        sweeper_.expires_after(SweepEvery);
+        sweeper_.expires_after(SweepInterval);
         sweeper_.async_wait([self = shared_from_this()](asio::error_code error) {
             if (error)
                 return;
@@ -163,7 +167,7 @@
           listener_(std::make_shared<Listener>(core_, address, use)) {
         listener_->start();
     }
-    // What the connections share was freed here, while the loop still had their ends to note in it.
+    // Does not free the shared ServerCore: pending handlers of the event loop still access it.
     ~AsioServer() override { listener_->end(); }
     AsioServer(const AsioServer&) = delete;
     AsioServer& operator=(const AsioServer&) = delete;
@@ -172,7 +176,7 @@
     void close_after_answers() override { core_->closing = true; }
     void close_idle() override {
         for (const ConnectionPtr& connection : ServerConnections(core_->connections))
-            if (connection->resting())
+            if (connection->idle())
                 connection->close();
     }
     std::size_t busy() const override {
--- a/src/connection/httpserver.h
+++ b/src/connection/httpserver.h
@@ -1,3 +1,5 @@
+// HTTP/1.1 server that accepts callers' and operators' requests.
+
 #ifndef HTTPSERVER_H_INCLUDED
 #define HTTPSERVER_H_INCLUDED
 
@@ -16,78 +18,79 @@
 
 namespace liftweir {
 
-// One request and the way to answer it. All calls on the server's io_context thread.
+// One request and the means to respond to it. All calls are made on the server's io_context thread.
 class HttpExchange {
   public:
     virtual ~HttpExchange() = default;
 
     virtual std::string_view method() const = 0;
-    // Path and query exactly as they were sent.
+    // Path and query exactly as received.
     virtual std::string_view target() const = 0;
     virtual std::string_view path() const = 0;
     virtual std::string_view query() const = 0;
     virtual std::string_view body() const = 0;
     virtual const HttpHeaders& headers() const = 0;
-    // Empty where the header is missing.
+    // Empty if the header is missing.
     virtual std::string header(std::string_view name) const = 0;
-    // When the whole request had arrived.
+    // Time at which the complete request had arrived.
     virtual Time received() const = 0;
-    // Whether an earlier request was answered on the same connection.
+    // True if an earlier request was answered on the same connection.
     virtual bool on_reused_connection() const = 0;
 
-    // Whole answer at once.
+    // Sends a complete response.
     virtual void respond(int status, const HttpHeaders& headers, std::string body) = 0;
-    // Streamed answer, chunked. `on_written` is told when the bytes are with the kernel, or that
-    // the connection is gone.
+    // Sends a chunked response. `on_written` is called with true once the kernel has the bytes, or
+    // with false if the connection is closed.
     virtual void begin(int status, const HttpHeaders& headers) = 0;
     virtual void write(std::string bytes, std::function<void(bool)> on_written) = 0;
     virtual void finish() = 0;
-    // Closes the connection in the middle: an answer that was begun never looks complete.
+    // Closes the connection, so that a response that was started never looks complete.
     virtual void abort() = 0;
-    // When the caller was seen to have ended its connection, or its sending side; empty while it
-    // has not. Looks at the socket, so that it knows of a close that is not read yet. Asked before
-    // anything is sent on the caller's behalf.
+    // Time at which the caller's close of its connection or of its sending side was noticed; empty
+    // if there was none. Polls the socket, so that a close behind unread bytes counts. Called
+    // before anything is sent to an endpoint on the caller's behalf.
     virtual std::optional<Time> left() const = 0;
-    // Told once, when the caller's connection is gone.
-    virtual void on_disconnect(std::function<void()> gone) = 0;
+    // Sets a callback that is invoked once, when the caller's connection is closed.
+    virtual void on_disconnect(std::function<void()> callback) = 0;
 };
 
 using HttpHandler = std::function<void(std::shared_ptr<HttpExchange>)>;
 
-// Bounds on what a caller may send and how long it may take. Exceeding one is answered with 431,
-// 413 or 408 and a closed connection.
+// Bounds on what a caller may send and how long it may take. A request that exceeds one is answered
+// with 431, 413 or 408, and its connection is closed.
 struct HttpServerLimits {
     std::size_t body_bytes = 16u << 20;
     std::size_t header_bytes = 16u << 10;
     std::size_t connections = 16384;
-    // From the first byte of a head to its end, and the longest pause within a body.
+    // Longest time from the first byte of a head to its end, and longest pause within a body.
     Duration header_timeout = std::chrono::seconds(10);
-    // How long a kept connection may rest between two requests.
+    // How long a connection may be idle between two requests.
     Duration idle_timeout = std::chrono::seconds(75);
 };
 
-// Whether other servers may listen on the same address.
+// Whether other servers may listen on the same address (SO_REUSEPORT).
 enum class AddressUse : std::uint8_t { Exclusive, Shared };
 
-// HTTP/1.1 server on one io_context. Several servers that share an address, each with its own
-// thread, share the load through SO_REUSEPORT.
+// HTTP/1.1 server on one io_context. Several servers with a thread each can listen on one shared
+// address; the kernel then distributes the connections among them.
 class HttpServer {
   public:
     virtual ~HttpServer() = default;
     virtual void stop_accepting() = 0;
-    // From now on every answer ends its connection.
+    // Closes every connection after its next response.
     virtual void close_after_answers() = 0;
-    // Ends connections that rest between two requests. A new one, whose first request may be on its
-    // way, is left, and so is one whose answer has not left yet.
+    // Closes connections that are idle between two requests. A new connection, whose first request
+    // may be in transit, stays open, and so does one whose response is not fully written.
     virtual void close_idle() = 0;
-    // Connections with a request that is being read or worked on, or an answer that has not left.
+    // Number of connections with a request that is being read or processed, or with a response that
+    // is not fully written.
     virtual std::size_t busy() const = 0;
-    // Takes effect for the next request of every connection.
+    // Takes effect with the next request on every connection.
     virtual void set_limits(const HttpServerLimits& limits) = 0;
     virtual std::size_t connections() const = 0;
 };
 
-// Throws std::system_error where the address can not be had.
+// Throws std::system_error if the address can not be bound.
 std::unique_ptr<HttpServer> serve_http(asio::io_context& io, const std::string& address,
                                        const HttpServerLimits& limits, HttpHandler handler,
                                        AddressUse use = AddressUse::Exclusive);
--- a/src/connection/link.cpp
+++ b/src/connection/link.cpp
@@ -1,3 +1,5 @@
+// Handshake, framing and reconnection of the links between the system's own processes.
+
 #include "connection/link.h"
 
 #include "connection/codec.h"
@@ -11,35 +13,37 @@
 
 namespace {
 
-// Raised when a message changes in a way that an older reader can not skip.
+// Incremented when a message changes in a way that an older reader can not skip.
 constexpr std::uint32_t ProtocolVersion = 2;
 constexpr std::string_view Magic = "liftweir";
 
 constexpr std::uint32_t MaxHandshakeBytes = 1024;
-// A peer that does not read may cost this much and one more message, then the link is given up.
-// What is large is bounded where it is sent; a control host of 256 MB bears this for several links.
+// A link is closed once its peer, by not reading, has caused more than this to be queued. Senders
+// of large messages bound what they queue; a control host with 256 MB of memory can hold this much
+// for several links.
 constexpr std::size_t MaxQueuedBytes = 16u << 20;
-constexpr std::size_t LargestRead = 64 * 1024;
+constexpr std::size_t MaxReadBytes = 64 * 1024;
 constexpr Duration HandshakeTimeout = std::chrono::seconds(3);
-// The kernel sends a lost first packet again after a second: dialing anew is sooner. Three times
-// the longest round trip between two regions.
+// The kernel retransmits a lost SYN only after a second; a new connect attempt is faster. The
+// timeout is three times the longest round trip between two regions.
 constexpr Duration ConnectTimeout = std::chrono::milliseconds(300);
-// A host that is there answers a connect within one round trip. An attempt that is older began
-// before the host was up.
-constexpr Duration AnsweredConnect = std::chrono::milliseconds(100);
-// Several retransmissions between zones, and well below the time in which a cut must be noticed.
-constexpr Duration SilenceLimit = std::chrono::milliseconds(2500);
-// TCP_USER_TIMEOUT shows only what is not acknowledged. Where an answer is owed and not a byte
-// comes, the link is given up as soon: a settings lease of 4.1 s outlives a question that is lost,
-// this, and a new link's first questions.
-constexpr Duration AnswerLimit = SilenceLimit;
-// What comes while an answer is owed may stand before it in the queue; copies of 1 MB at 640 KB/s
-// take a fifth of this. A single message that takes longer is waited for.
-constexpr Duration LateAnswerLimit = std::chrono::seconds(10);
-constexpr Duration FirstPause = std::chrono::milliseconds(50);
-// After a loss of power the control hosts come back within half a second of each other; a longer
-// pause would be most of the time until they have a leader.
-constexpr Duration LongestPause = std::chrono::milliseconds(400);
+// A host that is up answers a connect within one round trip. An attempt that has taken longer was
+// started before the host was up.
+constexpr Duration HealthyConnectTime = std::chrono::milliseconds(100);
+// Leaves time for several retransmissions between zones, and is well below the time within which a
+// network partition must be detected.
+constexpr Duration UnacknowledgedTimeout = std::chrono::milliseconds(2500);
+// TCP_USER_TIMEOUT covers only unacknowledged data. A link on which an answer is outstanding and no
+// byte arrives is closed after the same time: a settings lease of 4.1 s outlasts a lost request,
+// this timeout and the first requests on a new link.
+constexpr Duration AnswerTimeout = UnacknowledgedTimeout;
+// Bytes that arrive while an answer is outstanding may precede it in the peer's send queue; copies
+// of 1 MB at 640 KB/s take a fifth of this time. A single message that takes longer is waited for.
+constexpr Duration MaxAnswerDelay = std::chrono::seconds(10);
+constexpr Duration MinReconnectDelay = std::chrono::milliseconds(50);
+// After a loss of power the control hosts restart within half a second of each other; a longer
+// delay would make up most of the time until they have elected a leader.
+constexpr Duration MaxReconnectDelay = std::chrono::milliseconds(400);
 
 struct HelloFrame {
     std::string magic;
@@ -54,9 +58,9 @@
     MSGPACK_DEFINE(mac)
 };
 
-Duration jittered(Duration pause) {
+Duration jittered(Duration delay) {
     thread_local std::minstd_rand random(std::random_device{}());
-    std::uniform_int_distribution<Duration::rep> pick(pause.count() / 2, pause.count());
+    std::uniform_int_distribution<Duration::rep> pick(delay.count() / 2, delay.count());
     return Duration(pick(random));
 }
 
@@ -72,9 +76,9 @@
     return counters;
 }
 
-void set_silence_limit(asio::ip::tcp::socket& socket, Duration limit) {
-    const auto millis = static_cast<unsigned>(to_millis(limit));
-    // Best effort: where the option is missing, the owner's own time limits still hold.
+void set_user_timeout(asio::ip::tcp::socket& socket, Duration timeout) {
+    const auto millis = static_cast<unsigned>(to_millis(timeout));
+    // Best effort: if the system lacks the option, the owner's own timeouts still apply.
     (void)::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &millis,
                        sizeof millis);
 }
@@ -100,7 +104,7 @@
       nonce_(random_bytes(NonceBytes)) {
     asio::error_code ignored;
     socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
-    set_silence_limit(socket_, SilenceLimit);
+    set_user_timeout(socket_, UnacknowledgedTimeout);
 }
 
 void Link::start(OnUp on_up, OnMessage on_message, OnDown on_down) {
@@ -137,8 +141,8 @@
     send_frame(message.body());
 }
 
-// Brings the number of waiting bytes up to date, here and in the sum over all links.
-void Link::note_queued() {
+// Updates the number of queued bytes of this link and of all links.
+void Link::update_queued() {
     const std::size_t queued = closed_ ? 0 : pending_.size() + writing_.size();
     link_counters().queued.fetch_add(queued - queued_bytes_, std::memory_order_relaxed);
     queued_bytes_ = queued;
@@ -154,8 +158,9 @@
     std::memcpy(header, &length, sizeof length);
     pending_.append(header, sizeof header);
     pending_ += body;
-    note_queued();
-    // One write per turn of the loop: messages sent in one turn leave in one packet.
+    update_queued();
+    // Writes once per iteration of the event loop, so that messages that are sent in one iteration
+    // share a packet.
     if (!write_active_) {
         write_active_ = true;
         asio::post(socket_.get_executor(), [self = shared_from_this()] { self->write_next(); });
@@ -177,16 +182,17 @@
                               return;
                           }
                           self->writing_.clear();
-                          // A large message must not leave its size behind on each link.
-                          if (self->writing_.capacity() > LargestRead)
+                          // Releases the memory of a large message; otherwise every link would
+                          // keep a buffer of that size.
+                          if (self->writing_.capacity() > MaxReadBytes)
                               self->writing_.shrink_to_fit();
-                          self->note_queued();
+                          self->update_queued();
                           self->write_next();
                       });
 }
 
-// Reads what is there and takes all whole frames out of it. Most links are idle, and a control host
-// has one for each agent: the buffer is small and grows only on links that fill it.
+// Reads the available bytes and processes all complete frames. Most links are idle, and a control
+// host has one for each agent, so the buffer is small and grows only on links that fill it.
 void Link::read_more() {
     const std::size_t had = in_.size();
     in_.resize(had + read_size_);
@@ -198,15 +204,15 @@
                 return;
             }
             self->in_.resize(had + bytes);
-            self->heard_ = BootClock::now();
+            self->last_received_ = BootClock::now();
             link_counters().bytes_in.fetch_add(bytes, std::memory_order_relaxed);
             if (bytes == self->read_size_)
-                self->read_size_ = std::min(2 * bytes, LargestRead);
-            self->take_frames();
+                self->read_size_ = std::min(2 * bytes, MaxReadBytes);
+            self->process_frames();
         });
 }
 
-void Link::take_frames() {
+void Link::process_frames() {
     std::size_t at = 0;
     while (!closed_) {
         std::uint32_t length = 0;
@@ -226,15 +232,15 @@
         return;
     in_.erase(0, at);
     within_message_ = !in_.empty();
-    if (in_.empty() && read_size_ > SmallestRead && in_.capacity() > LargestRead) {
+    if (in_.empty() && read_size_ > MinReadBytes && in_.capacity() > MaxReadBytes) {
         in_.shrink_to_fit();
-        read_size_ = SmallestRead;
+        read_size_ = MinReadBytes;
     }
     read_more();
 }
 
 void Link::on_frame(std::string_view body) {
-    if (!greeted_) {
+    if (!hello_received_) {
         on_hello(body);
     } else if (!up_) {
         on_proof(body);
@@ -246,7 +252,7 @@
     }
 }
 
-// The direction is part of the signed text, so that a proof can not be sent back to its maker.
+// The direction is part of the signed text, so that a proof can not be reflected to its sender.
 std::string Link::proof_text(bool of_dialer) const {
     const bool own = of_dialer == dialed_;
     return std::string(of_dialer ? "dialer|" : "acceptor|") + describe(own ? self_ : peer_) + "|" +
@@ -260,7 +266,7 @@
         refuse();
         return;
     }
-    greeted_ = true;
+    hello_received_ = true;
     peer_ = hello->identity;
     peer_nonce_ = hello->nonce;
     send_frame(encode_struct(ProofFrame{keys_.sign(proof_text(dialed_))}));
@@ -287,11 +293,11 @@
     if (std::exchange(closed_, true))
         return;
     up_ = false;
-    note_queued();
+    update_queued();
     asio::error_code ignored;
     socket_.close(ignored);
     timer_.cancel();
-    // The owner is told from the loop: it may be in the middle of a call into this link.
+    // Notifies the owner from the event loop, since it may be in the middle of a call to this link.
     asio::post(socket_.get_executor(), [self = shared_from_this()] {
         const auto on_down = std::exchange(self->on_down_, nullptr);
         self->on_up_ = nullptr;
@@ -336,7 +342,7 @@
       self_(self),
       keys_(keys),
       timer_(io),
-      pause_(FirstPause),
+      reconnect_delay_(MinReconnectDelay),
       alive_(std::make_shared<bool>(true)) {}
 
 Dialer::~Dialer() {
@@ -390,21 +396,21 @@
 }
 
 void Dialer::connect_failed() {
-    if (std::exchange(hurried_, false))
+    if (std::exchange(retry_at_once_, false))
         dial();
     else
         dial_later();
 }
 
 void Dialer::connected(asio::ip::tcp::socket socket) {
-    hurried_ = false;
-    owed_since_.reset();
+    retry_at_once_ = false;
+    awaiting_since_.reset();
     link_ = std::make_shared<Link>(std::move(socket), self_, keys_, true);
     link_->start(
         [this, alive = alive_](const Link::Ptr& link) {
             if (!*alive)
                 return;
-            pause_ = FirstPause;
+            reconnect_delay_ = MinReconnectDelay;
             on_up_(link);
         },
         [this, alive = alive_](const Link::Ptr& link, WireMessage&& message) {
@@ -420,46 +426,46 @@
         });
 }
 
-// Jitter keeps hundreds of agents from dialing a returning control host in one instant.
+// The jitter keeps hundreds of agents from connecting to a restarted control host at the same time.
 void Dialer::dial_later() {
-    timer_.expires_after(jittered(pause_));
-    pause_ = std::min(pause_ * 2, LongestPause);
-    resting_ = true;
+    timer_.expires_after(jittered(reconnect_delay_));
+    reconnect_delay_ = std::min(reconnect_delay_ * 2, MaxReconnectDelay);
+    delayed_ = true;
     timer_.async_wait([this, alive = alive_](asio::error_code error) {
         if (error || !*alive)
             return;
-        resting_ = false;
+        delayed_ = false;
         dial();
     });
 }
 
 void Dialer::expect_reply(Time now) {
-    if (up() && !owed_since_)
-        owed_since_ = now;
+    if (up() && !awaiting_since_)
+        awaiting_since_ = now;
 }
 
-bool Dialer::silent(Time now) const {
-    if (!up() || !owed_since_)
+bool Dialer::answer_timed_out(Time now) const {
+    if (!up() || !awaiting_since_)
         return false;
-    if (now - std::max(*owed_since_, link_->heard()) > AnswerLimit)
+    if (now - std::max(*awaiting_since_, link_->last_received()) > AnswerTimeout)
         return true;
-    return now - *owed_since_ > LateAnswerLimit && !link_->within_message();
+    return now - *awaiting_since_ > MaxAnswerDelay && !link_->within_message();
 }
 
 void Dialer::close_if_unresponsive(Time now) {
-    if (silent(now))
+    if (answer_timed_out(now))
         link_->close();
 }
 
 void Dialer::retry_now() {
-    if (connecting_ && BootClock::now() - connecting_since_ > AnsweredConnect) {
-        hurried_ = true;
+    if (connecting_ && BootClock::now() - connecting_since_ > HealthyConnectTime) {
+        retry_at_once_ = true;
         connecting_->close();
         return;
     }
-    if (!std::exchange(resting_, false))
+    if (!std::exchange(delayed_, false))
         return;
-    pause_ = FirstPause;
+    reconnect_delay_ = MinReconnectDelay;
     timer_.cancel();
     dial();
 }
--- a/src/connection/link.h
+++ b/src/connection/link.h
@@ -1,3 +1,6 @@
+// Authenticated TCP connections between the system's own processes: the listener, the dialer that
+// reconnects, and the connection itself.
+
 #ifndef LINK_H_INCLUDED
 #define LINK_H_INCLUDED
 
@@ -20,7 +23,7 @@
 
 enum class ProcessRole : std::uint8_t { Control, Entry, Agent };
 
-// Who a process is, as it says in the handshake.
+// Identity of a process, which it sends in the handshake.
 struct Identity {
     ProcessRole role = ProcessRole::Agent;
     std::string name;
@@ -30,25 +33,25 @@
     MSGPACK_DEFINE(role, name, incarnation)
 };
 
-// Counts for the budget of control traffic, and for what waits to leave.
+// Counters for the metrics of control traffic and of queued bytes.
 struct LinkCounters {
     std::atomic<std::uint64_t> bytes_in{0};
     std::atomic<std::uint64_t> bytes_out{0};
     std::atomic<std::uint64_t> messages_in{0};
     std::atomic<std::uint64_t> messages_out{0};
     std::atomic<std::uint64_t> refused{0}; // failed handshakes and undecodable frames
-    std::atomic<std::uint64_t> queued{0};  // bytes that wait in the send queues of all links
+    std::atomic<std::uint64_t> queued{0};  // bytes in the send queues of all links
     std::array<std::atomic<std::uint64_t>, MessageNames.size()> sent{}; // bytes by kind of message
 };
 
 LinkCounters& link_counters();
 
-// A message as it is on the wire, encoded once for all links that it is sent over.
+// A message that is encoded once and sent over any number of links.
 class EncodedMessage {
   public:
     explicit EncodedMessage(const WireMessage& message);
 
-    std::size_t kind() const { return kind_; } // place among the alternatives of WireMessage
+    std::size_t kind() const { return kind_; } // index of the alternative in WireMessage
     const std::string& body() const { return body_; }
 
   private:
@@ -56,9 +59,9 @@
     std::string body_;
 };
 
-// One authenticated TCP connection that carries length-framed messages both ways. Lives on one
-// io_context thread. Both sides prove knowledge of a cluster key over the other's nonce before
-// any message is taken.
+// One authenticated TCP connection that carries length-prefixed messages in both directions, used
+// on one io_context thread. Before any message is accepted, each side proves knowledge of a cluster
+// key with a MAC over the other side's nonce.
 class Link : public std::enable_shared_from_this<Link> {
   public:
     using Ptr = std::shared_ptr<Link>;
@@ -75,24 +78,25 @@
 
     bool up() const { return up_; }
     const Identity& peer() const { return peer_; }
-    // When bytes came last.
-    Time heard() const { return heard_; }
-    // A part of a message has come, and the rest not yet.
+    // Time at which bytes were last received.
+    Time last_received() const { return last_received_; }
+    // True while only a part of the next message has been received.
     bool within_message() const { return within_message_; }
     std::size_t queued_bytes() const { return queued_bytes_; }
-    // So much waits already that copies of what can be asked for again had better wait, too.
+    // True if the send queue is so long that data which the peer can request again should not be
+    // sent yet.
     bool backed_up() const { return queued_bytes_ > BackedUpBytes; }
 
   private:
-    static constexpr std::size_t SmallestRead = 2048;
-    // A fifth of a second on a link of 40 Mbit/s.
+    static constexpr std::size_t MinReadBytes = 2048;
+    // Takes a fifth of a second on a link of 40 Mbit/s.
     static constexpr std::size_t BackedUpBytes = 1u << 20;
 
     void send_frame(const std::string& body);
-    void note_queued();
+    void update_queued();
     void write_next();
     void read_more();
-    void take_frames();
+    void process_frames();
     void on_frame(std::string_view body);
     void on_hello(std::string_view body);
     void on_proof(std::string_view body);
@@ -108,15 +112,15 @@
     std::string nonce_;
     std::string peer_nonce_;
     Identity peer_;
-    bool greeted_ = false;
+    bool hello_received_ = false;
     bool up_ = false;
     bool closed_ = false;
     OnUp on_up_;
     OnMessage on_message_;
     OnDown on_down_;
     std::string in_;
-    std::size_t read_size_ = SmallestRead;
-    Time heard_ = BootClock::now();
+    std::size_t read_size_ = MinReadBytes;
+    Time last_received_ = BootClock::now();
     bool within_message_ = false;
     std::string writing_;
     std::string pending_;
@@ -143,7 +147,7 @@
     Link::OnDown on_down_;
 };
 
-// Keeps one link to an address, and dials again with growing, jittered pauses.
+// Maintains one link to an address and reconnects after an exponential delay with jitter.
 class Dialer {
   public:
     Dialer(asio::io_context& io, std::string address, const Identity& self,
@@ -154,24 +158,25 @@
 
     void start(Link::OnUp on_up, Link::OnMessage on_message, Link::OnDown on_down);
     bool up() const { return link_ && link_->up(); }
-    // False where no link is up: the message was not sent and never will be.
+    // Returns false if no link is up: the message was not sent and never will be.
     bool send(const WireMessage& message);
     bool send(const EncodedMessage& message);
-    // Bytes that wait to leave.
+    // Bytes in the send queue.
     std::size_t queued_bytes() const { return link_ ? link_->queued_bytes() : 0; }
     bool backed_up() const { return link_ && link_->backed_up(); }
     const std::string& address() const { return address_; }
-    // The other side is known to be there: dials at once if it is waiting to, or if an attempt has
-    // gone unanswered for longer than a sound one takes.
+    // Called when the peer is known to be reachable. Connects at once if the next attempt is still
+    // delayed, or if the current attempt has had no response for longer than a healthy one takes.
     void retry_now();
-    // The other side owes an answer from now on, if it does not already.
+    // The caller has sent a message that the peer has to answer. Starts the answer timeout unless
+    // it already runs.
     void expect_reply(Time now);
-    void answered() { owed_since_.reset(); }
-    // Ends the link, to dial anew, where an answer has been owed for too long.
+    void answered() { awaiting_since_.reset(); }
+    // Closes the link, to reconnect, if an answer has been outstanding for too long.
     void close_if_unresponsive(Time now);
 
   private:
-    bool silent(Time now) const;
+    bool answer_timed_out(Time now) const;
     void dial();
     void dial_later();
     void connect_failed();
@@ -182,22 +187,23 @@
     const Identity& self_;
     const ClusterKeys& keys_;
     asio::steady_timer timer_;
-    Duration pause_;
+    Duration reconnect_delay_;
     Link::Ptr link_;
     std::shared_ptr<bool> alive_;
     std::shared_ptr<asio::ip::tcp::socket> connecting_;
     Time connecting_since_{};
-    std::optional<Time> owed_since_; // an answer, over the present link
-    bool hurried_ = false;           // the attempt under way was given up for a new one
-    bool resting_ = false;           // between two attempts
+    std::optional<Time> awaiting_since_; // an answer is outstanding on the current link
+    bool retry_at_once_ = false;         // the current attempt was aborted in favour of a new one
+    bool delayed_ = false;               // waiting for the next attempt
     Link::OnUp on_up_;
     Link::OnMessage on_message_;
     Link::OnDown on_down_;
 };
 
-// Ends a connection whose peer has acknowledged nothing for so long. A host without power, or
-// behind a cut, sends no reset: without this, writes to it succeed for minutes.
-void set_silence_limit(asio::ip::tcp::socket& socket, Duration limit);
+// Sets TCP_USER_TIMEOUT: the kernel closes the connection if sent data stays unacknowledged for
+// this long. A host that has lost power or is partitioned sends no reset, and without the timeout,
+// writes to it would succeed for minutes.
+void set_user_timeout(asio::ip::tcp::socket& socket, Duration timeout);
 
 // Splits "ip:port". Fails with BadSettings.
 Expected<asio::ip::tcp::endpoint> parse_address(const std::string& address);
--- a/src/connection/secret.cpp
+++ b/src/connection/secret.cpp
@@ -1,3 +1,5 @@
+// Cryptographic primitives over OpenSSL.
+
 #include "connection/secret.h"
 
 #include "process/clock.h"
@@ -58,14 +60,15 @@
     return bytes;
 }
 
-// Milliseconds of wall time in the high bits: a restart takes longer than the clock's error, and
-// the low bits keep two starts in one millisecond apart.
+// The high bits hold the wall time in milliseconds, which increases from start to start because a
+// restart takes longer than the clock's error. The random low bits distinguish two starts within
+// one millisecond.
 std::uint64_t new_incarnation() {
-    std::uint64_t noise = 0;
-    std::memcpy(&noise, random_bytes(sizeof noise).data(), sizeof noise);
-    constexpr unsigned NoiseBits = 20;
-    return (static_cast<std::uint64_t>(wall_millis()) << NoiseBits) |
-           (noise & ((1u << NoiseBits) - 1));
+    std::uint64_t random = 0;
+    std::memcpy(&random, random_bytes(sizeof random).data(), sizeof random);
+    constexpr unsigned RandomBits = 20;
+    return (static_cast<std::uint64_t>(wall_millis()) << RandomBits) |
+           (random & ((1u << RandomBits) - 1));
 }
 
 std::string sha256_hex(std::string_view text) {
--- a/src/connection/serverconnection.cpp
+++ b/src/connection/serverconnection.cpp
@@ -1,3 +1,5 @@
+// Parses callers' requests with http_parser and writes the responses.
+
 #include "connection/serverconnection.h"
 
 #include <algorithm>
@@ -10,12 +12,12 @@
 
 namespace {
 
-// A caller that takes no byte of its answer for so long is given up.
+// The connection is closed if the caller reads no byte of its response for this long.
 constexpr Duration WriteTimeout = std::chrono::seconds(60);
-// After an error answer the rest of the request is read and dropped for so long: closing with
-// unread bytes would reset the connection, and the answer with it.
+// After an error response the rest of the request is read and discarded for this long: a close
+// with unread bytes would reset the connection and lose the response.
 constexpr Duration LingerTime = std::chrono::seconds(1);
-// Bytes of later requests that are kept while one is in work.
+// Bytes of later requests that are buffered while one is processed.
 constexpr std::size_t MaxHeldBytes = 64u << 10;
 constexpr std::size_t MaxHeaderCount = 128;
 
@@ -65,7 +67,8 @@
     return settings;
 }
 
-// A request that two readers could frame in two ways is refused: one of them may be an endpoint.
+// Refuses a request that two readers could frame differently (request smuggling), since the
+// endpoint may be one of them.
 int ServerConnection::refusal_of_head() const {
     std::size_t hosts = 0;
     std::size_t lengths = 0;
@@ -96,7 +99,7 @@
     message_.keep_alive = http_should_keep_alive(&parser_) != 0;
     set_phase(Phase::Body, BootClock::now() + core_->limits.header_timeout);
     if (has_token(find_header(message_.headers, "expect"), "100-continue") &&
-        !std::exchange(informed_, true))
+        !std::exchange(continue_sent_, true))
         send("HTTP/1.1 100 Continue\r\n\r\n", nullptr);
     return 0;
 }
@@ -130,13 +133,13 @@
                                     self->on_read_error(error);
                                     return;
                                 }
-                                self->take({self->in_.data(), bytes});
+                                self->on_bytes({self->in_.data(), bytes});
                                 self->read_more();
                             });
 }
 
-// A caller that ended its sending side may still read. An answer that is whole costs nobody work
-// any more, and is sent to its end; a request in work is given up.
+// A caller that closed its sending side may still read. A response that is complete needs no
+// further work and is written to its end; a request that is still processed is abandoned.
 void ServerConnection::on_read_error(asio::error_code error) {
     if (error == asio::error::eof && phase_ != Phase::Working && write_active_)
         close_when_written_ = true;
@@ -144,7 +147,7 @@
         close();
 }
 
-void ServerConnection::take(std::string_view bytes) {
+void ServerConnection::on_bytes(std::string_view bytes) {
     if (phase_ == Phase::Lingering)
         return;
     if (phase_ == Phase::Working) {
@@ -189,7 +192,7 @@
     }
     complete_ = false;
     close_after_ = !message_.keep_alive;
-    message_.on_reused_connection = std::exchange(kept_, true);
+    message_.on_reused_connection = std::exchange(reused_, true);
     set_phase(Phase::Working, Time::max());
     core_->on_request(shared_from_this(), std::exchange(message_, RequestMessage{}));
 }
@@ -242,7 +245,7 @@
     queue_.push_back({std::move(bytes), std::move(on_written)});
     if (std::exchange(write_active_, true))
         return;
-    // What one turn of the loop produces leaves in one packet.
+    // What one iteration of the event loop produces is sent in one packet.
     asio::post(core_->io, [self = shared_from_this()] { self->write_next(); });
 }
 
@@ -271,9 +274,9 @@
                       });
 }
 
-// The answer stands in the write queue; the next request may be taken.
+// The complete response is in the write queue; the next request may be parsed.
 void ServerConnection::answered() {
-    gone_ = nullptr;
+    on_disconnect_ = nullptr;
     if (phase_ != Phase::Working)
         return;
     if (close_after_) {
@@ -281,14 +284,15 @@
         return;
     }
     http_parser_init(&parser_, HTTP_REQUEST);
-    informed_ = false;
+    continue_sent_ = false;
     assembler_ = {};
     set_phase(Phase::Idle, BootClock::now() + core_->limits.idle_timeout);
     if (held_.empty()) {
         read_more();
         return;
     }
-    // From the loop: an answer may have been given within the call that delivered the request.
+    // Deferred to the event loop: the handler may have responded within the call that delivered
+    // the request.
     asio::post(core_->io, [self = shared_from_this()] {
         if (self->phase_ != Phase::Idle || self->held_.empty())
             return;
@@ -298,8 +302,9 @@
     });
 }
 
-// Reading would not do: the end stands behind all bytes before it. A half close counts too. It can
-// not be told from a close until bytes are sent, and an endpoint must not work for nobody.
+// Polls instead of reading, since a read returns the end only after all bytes before it. A half
+// close counts too: it can not be told from a close until bytes are sent, and an endpoint must not
+// work for a caller that has disconnected.
 std::optional<Time> ServerConnection::left() {
     if (left_ || phase_ == Phase::Closed)
         return left_;
@@ -310,7 +315,8 @@
 }
 
 void ServerConnection::sweep(Time now) {
-    // Nothing else tells of a caller of whose later requests enough is held.
+    // Without this check the close would go unnoticed: reading stops once enough bytes of the
+    // caller's later requests are buffered.
     if (phase_ == Phase::Working && !reading_ && left()) {
         close();
         return;
@@ -331,9 +337,9 @@
         close();
 }
 
-void ServerConnection::tell_gone() {
-    if (const auto gone = std::exchange(gone_, nullptr))
-        gone();
+void ServerConnection::notify_disconnect() {
+    if (const auto callback = std::exchange(on_disconnect_, nullptr))
+        callback();
 }
 
 void ServerConnection::close() {
@@ -350,7 +356,7 @@
         for (const PendingWrite& item : std::exchange(self->queue_, {}))
             if (item.on_written)
                 item.on_written(false);
-        self->tell_gone();
+        self->notify_disconnect();
     });
 }
 
--- a/src/connection/serverconnection.h
+++ b/src/connection/serverconnection.h
@@ -1,3 +1,5 @@
+// Server side of one HTTP/1.1 connection from a caller.
+
 #ifndef SERVERCONNECTION_H_INCLUDED
 #define SERVERCONNECTION_H_INCLUDED
 
@@ -20,7 +22,7 @@
 
 namespace liftweir {
 
-// One whole request as it was read.
+// One complete request.
 struct RequestMessage {
     std::string method;
     std::string target;
@@ -34,44 +36,45 @@
 using ConnectionPtr = std::shared_ptr<ServerConnection>;
 using ServerConnections = std::set<ConnectionPtr>;
 
-// What all connections of one server share.
+// State that all connections of one server share.
 struct ServerCore {
     asio::io_context& io;
     HttpServerLimits limits;
-    // A connection has read a whole request, and waits for its answer.
+    // Called when a connection has read a complete request and waits for the response.
     std::function<void(const ConnectionPtr&, RequestMessage&&)> on_request;
     ServerConnections connections{};
-    bool closing = false; // every answer ends its connection
+    bool closing = false; // connections are closed after their next response
 };
 
-// One caller's connection: reads one request at a time and writes its answer.
+// One caller's connection: reads one request at a time and writes its response.
 class ServerConnection : public std::enable_shared_from_this<ServerConnection> {
   public:
     ServerConnection(asio::ip::tcp::socket socket, std::shared_ptr<ServerCore> core);
 
     void start();
-    // Ends what has gone on for longer than the server's limits allow.
+    // Applies the server's time limits.
     void sweep(Time now);
     void close();
-    // Between two requests, with nothing left to send.
-    bool resting() const { return phase_ == Phase::Idle && kept_ && !write_active_; }
-    // A request is being read or worked on, or an answer has not left yet.
+    // True between two requests, with nothing left to send.
+    bool idle() const { return phase_ == Phase::Idle && reused_ && !write_active_; }
+    // True while a request is being read or processed, or a response is not fully written.
     bool busy() const {
         const bool reads = phase_ == Phase::Head || phase_ == Phase::Body;
         return phase_ != Phase::Closed && (reads || phase_ == Phase::Working || write_active_);
     }
 
-    // The answer to the request that was read last. Chunked where `length` is missing.
+    // Starts the response to the request that was read last; chunked if `length` is empty.
     void send_head(int status, const HttpHeaders& headers, std::optional<std::size_t> length);
     void send(std::string bytes, std::function<void(bool)> on_written);
     void send_chunk(std::string bytes, std::function<void(bool)> on_written);
-    // The answer is whole.
+    // The response is complete.
     void answered();
-    // When the caller was seen to have closed its connection or its sending side; looks at the
-    // socket, where a close may stand behind bytes that were not read yet.
+    // Time at which the caller's close of its connection or of its sending side was noticed. Polls
+    // the socket, since a close may be queued behind bytes that were not read yet.
     std::optional<Time> left();
-    // Told once, when the connection is gone before the answer is whole.
-    void watch(std::function<void()> gone) { gone_ = std::move(gone); }
+    // Sets a callback that is invoked once if the connection closes before the response is
+    // complete.
+    void set_on_disconnect(std::function<void()> callback) { on_disconnect_ = std::move(callback); }
 
   private:
     static constexpr std::size_t ReadBytes = 4096;
@@ -93,41 +96,41 @@
 
     void read_more();
     void on_read_error(asio::error_code error);
-    void take(std::string_view bytes);
+    void on_bytes(std::string_view bytes);
     int refusal_of_head() const;
     void parse(std::string_view bytes);
     void request_done();
     void refuse(int status);
     void linger();
     void write_next();
-    void tell_gone();
+    void notify_disconnect();
     std::size_t head_bytes() const;
     void set_phase(Phase phase, Time deadline);
 
     asio::ip::tcp::socket socket_;
-    // Outlives the server while a connection has work left in the loop.
+    // Outlives the server while this connection has pending handlers in the event loop.
     std::shared_ptr<ServerCore> core_;
     http_parser parser_{};
     Phase phase_ = Phase::Idle;
     Time deadline_{};
     std::array<char, ReadBytes> in_{};
-    std::string held_; // of later requests
+    std::string held_; // bytes of later requests
     bool reading_ = false;
     RequestMessage message_;
     HeaderAssembler assembler_;
-    int refused_ = 0;       // status of the refusal; zero where nothing is wrong
-    bool complete_ = false; // the request is whole
-    bool close_after_ = false;
-    bool close_when_written_ = false; // no more bytes come from the caller
-    bool kept_ = false;               // a request was answered before
-    bool informed_ = false;           // 100 Continue was sent for this request
+    int refused_ = 0;                 // status of the refusal; 0 if the request is valid so far
+    bool complete_ = false;           // the request was read completely
+    bool close_after_ = false;        // the response to the current request is the last one
+    bool close_when_written_ = false; // the caller has closed its sending side
+    bool reused_ = false;             // an earlier request was answered on this connection
+    bool continue_sent_ = false;      // 100 Continue was sent for this request
     std::vector<PendingWrite> queue_;
     std::vector<PendingWrite> writing_;
     std::string wire_;
     bool write_active_ = false;
     Time write_since_{};
-    std::optional<Time> left_; // when the connection was seen to be gone
-    std::function<void()> gone_;
+    std::optional<Time> left_; // when the caller's close was noticed
+    std::function<void()> on_disconnect_;
 };
 
 } // namespace liftweir
--- a/src/connection/ticket.cpp
+++ b/src/connection/ticket.cpp
@@ -1,3 +1,5 @@
+// Creation and verification of tickets: an expiry time and its MAC.
+
 #include "connection/ticket.h"
 
 #include <charconv>
--- a/src/connection/ticket.h
+++ b/src/connection/ticket.h
@@ -1,3 +1,5 @@
+// Tickets: signed bearer tokens that give operators read access to every process for a while.
+
 #ifndef TICKET_H_INCLUDED
 #define TICKET_H_INCLUDED
 
@@ -9,14 +11,15 @@
 
 namespace liftweir {
 
-// Right to read metrics and events of any process until a wall time. Control hosts give it to
-// operators; the other processes, which know no operators, check it with the cluster key.
+// A ticket allows its holder to read metrics and events of any process until the given wall time.
+// Control hosts issue it to operators. The other processes do not know the operators and check the
+// ticket with the cluster key.
 std::string make_ticket(const ClusterKeys& keys, std::int64_t until_ms);
 
-// `authorization` is the whole header: "Bearer TICKET".
+// `authorization` is the complete value of the header: "Bearer TICKET".
 bool ticket_is_valid(const ClusterKeys& keys, std::string_view authorization, std::int64_t now_ms);
 
-// The token of a "Bearer" authorization header; empty where it is none.
+// The token of a "Bearer" Authorization header; empty for other schemes.
 std::string_view bearer_token(std::string_view authorization);
 
 } // namespace liftweir
