--- a/src/agent_main.cpp
+++ b/src/agent_main.cpp
@@ -1,3 +1,5 @@
+// liftweir-agent: runs beside the endpoint on each engine or service host, directed by control.
+
 #include "process/agent.h"
 #include "process/program.h"
 
--- a/src/connection/endpoint.cpp
+++ b/src/connection/endpoint.cpp
@@ -1,3 +1,5 @@
+// Model engines and plain services on the agent's own host, driven over HTTP.
+
 #include "connection/endpoint.h"
 
 #include "version/keys.h"
@@ -10,12 +12,12 @@
 namespace {
 
 constexpr Duration OrderTimeout = std::chrono::seconds(5);
-// An endpoint that still listens answers within this time, or nothing is concluded.
+// Health check: if the endpoint does not reply within this time, nothing is concluded.
 constexpr Duration ProbeTimeout = std::chrono::seconds(1);
 constexpr Duration StatusPoll = std::chrono::milliseconds(100);
 constexpr std::string_view FenceHeader = "X-Fence";
 
-// What an engine says of itself at GET /status.
+// What an engine reports about itself at GET /status.
 struct EngineStatus {
     bool known = false;
     Epoch fence = NoEpoch;
@@ -40,7 +42,7 @@
             j["resumes"].isBool() && j["resumes"].asBool()};
 }
 
-// Shared by both kinds: calls over libcurl.
+// Calls over libcurl, which both kinds of endpoint share.
 class HttpEndpoint : public Endpoint {
   public:
     HttpEndpoint(asio::io_context& io, std::string url)
@@ -49,9 +51,9 @@
     void resume(HttpCallId call) override { client_->resume(call); }
 
   protected:
-    using WholeAnswer = std::function<void(Expected<int>, const std::string& body)>;
+    using ResponseHandler = std::function<void(Expected<int>, const std::string& body)>;
 
-    void ask(HttpCall call, WholeAnswer done, Duration timeout = OrderTimeout) {
+    void send_call(HttpCall call, ResponseHandler done, Duration timeout = OrderTimeout) {
         const auto body = std::make_shared<std::string>();
         call.timeout = timeout;
         client_->start(std::move(call), {nullptr,
@@ -82,8 +84,8 @@
                                std::move(callbacks.on_done)});
     }
 
-    // On one host a refused connection means that nobody listens: a full backlog would let the
-    // attempt wait instead.
+    // On the same host, a refused connection means that no process listens: with a full backlog
+    // the attempt would wait instead.
     void probe_connection(std::function<void(EndpointHealth)> done) {
         HttpCall call;
         call.url = url_;
@@ -95,11 +97,11 @@
                                                  return done(EndpointHealth::Serving);
                                              done(connected.error().kind == FailureKind::NoEndpoint
                                                       ? EndpointHealth::Ended
-                                                      : EndpointHealth::Unsure);
+                                                      : EndpointHealth::Unknown);
                                          }});
     }
 
-    void after(Duration pause, std::function<void()> run) {
+    void run_after(Duration pause, std::function<void()> run) {
         const auto timer = std::make_shared<asio::steady_timer>(io_, pause);
         timer->async_wait([timer, run = std::move(run)](asio::error_code error) {
             if (!error)
@@ -117,20 +119,20 @@
     Engine(asio::io_context& io, std::string url, bool checks_fence)
         : HttpEndpoint(io, std::move(url)), checks_fence_(checks_fence) {}
 
-    // An order of the agent before may still be running: read back until it is over, then empty
-    // the engine under the fence that it shows.
+    // An order of the previous agent process may still be running: polls the status until it is
+    // over, then unloads the engine under the fence that it reports.
     void reset(std::function<void(bool)> done) override {
         status([this, done](const EngineStatus& s) {
             if (!s.known)
                 return done(false);
             if (s.state == "loading")
-                return after(StatusPoll, [this, done] { reset(done); });
+                return run_after(StatusPoll, [this, done] { reset(done); });
             order("unload", s.fence, {}, false, done);
         });
     }
 
     void load(const Assignment& assignment, bool lead, std::function<void(bool)> done) override {
-        current_ = assignment.epoch;
+        assigned_epoch_ = assignment.epoch;
         order("load", assignment.epoch, assignment, lead, [this, assignment, done](bool ok) {
             if (!ok)
                 return done(false);
@@ -139,7 +141,7 @@
     }
 
     void release(Epoch epoch, std::function<void(bool)> done) override {
-        current_ = NoEpoch;
+        assigned_epoch_ = NoEpoch;
         order("release", epoch, {}, false, std::move(done));
     }
 
@@ -148,7 +150,8 @@
         headers.emplace_back(FenceHeader, std::to_string(attempt.epoch));
         if (attempt.resume_tokens > 0)
             headers.emplace_back("X-Resume-Tokens", std::to_string(attempt.resume_tokens));
-        // A fence refusal means that the engine did not run it; it is no answer for the caller.
+        // A refusal by the fence means that the engine did not run the attempt, so it is not
+        // passed to the caller as a response.
         constexpr int FenceRefused = 409;
         const auto refused = std::make_shared<bool>(false);
         callbacks.on_head = [refused, head = callbacks.on_head](int status,
@@ -178,10 +181,10 @@
         Json::Value body;
         body["id"] = to_text(attempt);
         request.body = to_text(body);
-        ask(std::move(request), [](const Expected<int>&, const std::string&) {});
+        send_call(std::move(request), [](const Expected<int>&, const std::string&) {});
     }
 
-    // A restarted engine shows itself by its fence, or by being empty.
+    // A restarted engine is recognised by an older fence or by having no model loaded.
     void probe(Epoch epoch, std::function<void(EndpointHealth)> done) override {
         probe_connection([this, epoch, done](EndpointHealth health) {
             if (health != EndpointHealth::Serving)
@@ -190,7 +193,7 @@
                 [this, epoch, done](const EngineStatus& s) {
                     const bool other = checks_fence_ && s.fence < epoch;
                     if (!s.known)
-                        return done(EndpointHealth::Unsure);
+                        return done(EndpointHealth::Unknown);
                     done(other || s.state == "empty" ? EndpointHealth::Ended
                                                      : EndpointHealth::Serving);
                 },
@@ -198,18 +201,18 @@
         });
     }
 
-    bool can_resume_streams() const override { return resumes_; }
+    bool can_resume_streams() const override { return can_resume_; }
 
   private:
     void status(std::function<void(const EngineStatus&)> done, Duration timeout = OrderTimeout) {
         HttpCall call;
         call.url = url_ + "/status";
-        ask(
+        send_call(
             std::move(call),
             [this, done](const Expected<int>& code, const std::string& body) {
                 constexpr int Ok = 200;
                 const EngineStatus s = code && *code == Ok ? parse_status(body) : EngineStatus{};
-                resumes_ = s.known ? s.resumes : resumes_;
+                can_resume_ = s.known ? s.resumes : can_resume_;
                 done(s);
             },
             timeout);
@@ -239,24 +242,24 @@
             send_next_order();
     }
 
-    // One order at a time: two on two connections could reach the engine in either order, and an
-    // engine that does not check fences would obey both.
+    // Sends one order at a time: two orders on two connections could arrive in either sequence,
+    // and an engine that does not check fences would obey both.
     void send_next_order() {
-        ask(orders_.front().first, [this](const Expected<int>& code, const std::string&) {
-            constexpr int FirstError = 300;
+        send_call(orders_.front().first, [this](const Expected<int>& code, const std::string&) {
+            constexpr int FirstFailureStatus = 300;
             const auto done = std::move(orders_.front().second);
             orders_.pop_front();
             if (!orders_.empty())
                 send_next_order();
-            done(code && *code < FirstError);
+            done(code && *code < FirstFailureStatus);
         });
     }
 
-    // An engine that does not check fences may still be obeying an older order: what counts is
-    // that it reports the ordered model as ready.
+    // Polls until the engine reports the ordered model as ready: an engine that does not check
+    // fences may still be carrying out an older order.
     void await_load(const Assignment& assignment, std::function<void(bool)> done) {
         status([this, assignment, done](const EngineStatus& s) {
-            if (current_ != assignment.epoch)
+            if (assigned_epoch_ != assignment.epoch)
                 return;
             const bool same = s.model == assignment.model.model &&
                               s.version == assignment.model.version &&
@@ -265,14 +268,14 @@
                 return done(true);
             if (s.known && s.state == "empty")
                 return done(false);
-            after(StatusPoll, [this, assignment, done] { await_load(assignment, done); });
+            run_after(StatusPoll, [this, assignment, done] { await_load(assignment, done); });
         });
     }
 
     std::deque<std::pair<HttpCall, std::function<void(bool)>>> orders_;
     bool checks_fence_;
-    bool resumes_ = false;
-    Epoch current_ = NoEpoch;
+    bool can_resume_ = false;
+    Epoch assigned_epoch_ = NoEpoch;
 };
 
 class PlainService final : public HttpEndpoint {
--- a/src/connection/eventsplitter.cpp
+++ b/src/connection/eventsplitter.cpp
@@ -1,3 +1,5 @@
+// Finds the blank lines that end server-sent events.
+
 #include "connection/eventsplitter.h"
 
 #include <algorithm>
@@ -6,7 +8,7 @@
 
 namespace {
 
-// End of the blank line that closes the first event, or npos. Lines end in LF or CRLF.
+// Position after the blank line that closes the first event, or npos. Lines end in LF or CRLF.
 std::size_t end_of_event(std::string_view text, std::size_t from) {
     for (std::size_t at = text.find('\n', from); at != std::string_view::npos;
          at = text.find('\n', at + 1)) {
@@ -24,7 +26,7 @@
 std::string EventSplitter::next() {
     const std::size_t end = end_of_event(pending_, searched_);
     if (end == std::string::npos) {
-        // The last three bytes may be the first part of a closing line.
+        // The last three bytes may be the beginning of the line breaks that close the event.
         searched_ = pending_.size() < 3 ? 0 : pending_.size() - 3;
         return {};
     }
--- a/src/connection/eventsplitter.h
+++ b/src/connection/eventsplitter.h
@@ -1,3 +1,5 @@
+// Splits a stream of server-sent events into complete events.
+
 #ifndef EVENTSPLITTER_H_INCLUDED
 #define EVENTSPLITTER_H_INCLUDED
 
@@ -7,27 +9,27 @@
 
 namespace liftweir {
 
-// Cuts a stream of server-sent events at the ends of events. An endpoint may stop within one; what
-// was not whole must not reach a caller, since another endpoint goes on from the last whole event.
+// An endpoint may fail in the middle of an event. The incomplete part must not reach the caller,
+// since another endpoint resumes the stream after the last complete event.
 class EventSplitter {
   public:
     void feed(std::string_view bytes) { pending_.append(bytes); }
-    // An event is larger than any that is meant; nothing after it can be told apart.
+    // True if an event exceeds the size limit; nothing that follows it can be parsed.
     bool overflowed() const { return pending_.size() > MaxEventBytes; }
-    // The next whole event with its closing blank line; empty where there is none.
+    // The next complete event with its closing blank line; empty if there is none.
     std::string next();
-    // What is left after the last whole event.
+    // The bytes after the last complete event.
     const std::string& rest() const { return pending_; }
 
   private:
-    // A stream without a blank line must not fill the memory; events hold a few tokens.
+    // Bounds the memory for a stream without blank lines; events normally hold a few tokens.
     static constexpr std::size_t MaxEventBytes = 1u << 20;
 
     std::string pending_;
     std::size_t searched_ = 0;
 };
 
-// Value of an event's id field; empty where it has none.
+// Value of an event's id field; empty if it has none.
 std::string_view id_of_event(std::string_view event);
 
 } // namespace liftweir
--- a/src/connection/relay.cpp
+++ b/src/connection/relay.cpp
@@ -1,3 +1,5 @@
+// Splits responses into chunks and counts the tokens of a stream.
+
 #include "connection/relay.h"
 
 namespace liftweir {
@@ -7,7 +9,7 @@
 constexpr std::string_view EventEnd = "\n\n";
 constexpr std::string_view DataField = "data: ";
 constexpr std::string_view EndMark = "data: [DONE]";
-constexpr std::size_t LargestPlainChunk = 64 * 1024;
+constexpr std::size_t MaxPlainChunkBytes = 64 * 1024;
 
 } // namespace
 
@@ -24,7 +26,7 @@
 }
 
 std::optional<Chunk> Relay::next_chunk() {
-    std::size_t length = std::min(buffer_.size(), LargestPlainChunk);
+    std::size_t length = std::min(buffer_.size(), MaxPlainChunkBytes);
     if (streamed_) {
         const auto end = buffer_.rfind(EventEnd);
         length = end == std::string::npos ? 0 : end + EventEnd.size();
--- a/src/connection/relay.h
+++ b/src/connection/relay.h
@@ -1,3 +1,5 @@
+// Agent's side of a response: turns the endpoint's bytes into numbered chunks for the entry host.
+
 #ifndef RELAY_H_INCLUDED
 #define RELAY_H_INCLUDED
 
@@ -9,19 +11,20 @@
 
 namespace liftweir {
 
-// Turns an endpoint's bytes into numbered chunks for the entry host. Streams of server-sent
-// events are cut at event boundaries, so that a chunk never holds half a token.
+// Streams of server-sent events are split at event boundaries, so that no chunk ends in the middle
+// of a token.
 class Relay {
   public:
     Relay(AttemptId id, bool streamed, std::uint32_t resumed_tokens, std::uint32_t window)
         : id_(id), streamed_(streamed), tokens_(resumed_tokens), window_(window) {}
 
-    // False while the entry host has not drained its window; the bytes were not taken.
+    // Adds bytes from the endpoint. Returns false, without adding them, while the flow control
+    // window of the entry host is full.
     bool take(std::string_view bytes);
     void credit(std::uint32_t bytes);
-    // The next chunk, if whole events are there.
+    // The next chunk; empty if there is no complete event.
     std::optional<Chunk> next_chunk();
-    // End record of a whole answer; nothing where a stream stopped before its end mark.
+    // The end record of a complete response; empty if a stream stopped before its end mark.
     std::optional<End> finish() const;
 
     std::uint32_t tokens() const { return tokens_; }
--- a/src/connection/wire.h
+++ b/src/connection/wire.h
@@ -1,3 +1,5 @@
+// All messages between the system's own processes, grouped by sender and receiver.
+
 #ifndef WIRE_H_INCLUDED
 #define WIRE_H_INCLUDED
 
@@ -17,15 +19,15 @@
 
 namespace liftweir {
 
-// Messages between the system's own processes. Alternatives and fields are only ever appended:
-// a rolling upgrade mixes neighbouring releases.
+// New alternatives and fields are only appended, since a rolling upgrade mixes neighbouring
+// releases.
 
 // ---- control to control
 
 struct RaftPacket {
     NodeId from = NoNode;
     std::string body; // an encoded RaftMessage
-    // Whom it is for. A host whose disk was lost must not answer for the node that it once was.
+    // The receiver. A host whose disk was lost must not answer as the node that it was before.
     NodeId to = NoNode;
     MSGPACK_DEFINE(from, body, to)
 };
@@ -35,17 +37,17 @@
 enum class AgentPhase : std::uint8_t { Idle, Loading, Ready, Draining, Releasing };
 
 struct AgentStatus {
-    HostSpec spec; // empty name once control knows it
+    HostSpec spec; // its name is empty once control knows the host
     HostName host;
     Incarnation incarnation = 0;
     Epoch held = NoEpoch;
     AgentPhase phase = AgentPhase::Idle;
-    bool gate_open = false; // as lead
+    bool gate_open = false; // true only on the lead of a group
     std::uint32_t in_flight = 0;
     bool leaving = false;
-    std::vector<HostName> missing; // as lead: members without a fresh echo
+    std::vector<HostName> missing; // on the lead: members without a recent ping reply
     Epoch fence = NoEpoch;         // orders up to this epoch are refused
-    bool endpoint_gone = false;    // its process ended and does not answer yet
+    bool endpoint_gone = false;    // the endpoint's process ended and is not back yet
     MSGPACK_DEFINE(spec, host, incarnation, held, phase, gate_open, in_flight, leaving, missing,
                    fence, endpoint_gone)
 };
@@ -53,21 +55,21 @@
 // ---- control to agent
 
 struct Assignment {
-    Epoch epoch = NoEpoch; // NoEpoch: hold nothing
+    Epoch epoch = NoEpoch; // NoEpoch: no group is assigned
     ModelSpec model;
-    std::vector<Member> members; // the first one leads
+    std::vector<Member> members; // the lead first
     bool draining = false;
     std::uint32_t echo_timeout_ms = 1500;
     std::uint32_t slots = 32;
     std::uint32_t queue = 256;
-    bool waits_to_open = true; // a member's old group may be open for one echo timeout more
+    bool waits_to_open = true; // a member's previous group may stay open for one more ping timeout
 
     auto operator<=>(const Assignment&) const = default;
     MSGPACK_DEFINE(epoch, model, members, draining, echo_timeout_ms, slots, queue, waits_to_open)
 };
 
 struct AgentOrder {
-    Term term = 0; // of the leader that gives it
+    Term term = 0; // term of the leader that sends the order
     bool registered = false;
     bool has_assignment = false;
     Assignment assignment;
@@ -76,7 +78,7 @@
 };
 
 struct NotLeaderReply {
-    NodeId leader = NoNode; // NoNode where unknown
+    NodeId leader = NoNode; // NoNode if unknown
     MSGPACK_DEFINE(leader)
 };
 
@@ -90,27 +92,28 @@
     Version lease = 0;
     bool want_delta = false;
     std::uint64_t registry = 0;  // digest of the endpoints that the entry host knows
-    std::uint64_t calls = 0;     // taken since its start
-    std::uint32_t in_flight = 0; // calls under way
+    std::uint64_t calls = 0;     // calls accepted since the start of the entry host
+    std::uint32_t in_flight = 0; // calls in progress
     MSGPACK_DEFINE(entry, incarnation, sequence, table, lease, want_delta, registry, calls,
                    in_flight)
 };
 
-// One control host's word that its log holds no lease-relevant command above `logged`.
+// Acknowledges a lease renewal: the control host confirms that its log holds no command above
+// `logged` that raises the lease version. An entry host needs this from a majority of the voters.
 struct LeaseAck {
     NodeId node = NoNode;
-    std::uint64_t sequence = 0; // of the LeaseRenewal; 0 for an unasked push
+    std::uint64_t sequence = 0; // of the LeaseRenewal; 0 for an unsolicited update
     Version logged = 0;
     Version table = 0;
     Voters voters;
     NodeId leader = NoNode;
-    bool registered = false; // this incarnation of the entry host
+    bool registered = false; // this incarnation of the entry host is registered
     bool has_delta = false;
     TableDelta delta;
     Index voters_index = 0;            // of the log entry that set the voters
     std::vector<NodeId> nodes;         // all control hosts, voters or not
-    std::uint32_t entries = 0;         // entry hosts in touch
-    std::uint32_t in_flight_total = 0; // calls under way at all of them
+    std::uint32_t entries = 0;         // number of connected entry hosts
+    std::uint32_t in_flight_total = 0; // calls in progress at all of them
     MSGPACK_DEFINE(node, sequence, logged, table, voters, leader, registered, has_delta, delta,
                    voters_index, nodes, entries, in_flight_total)
 };
@@ -136,8 +139,8 @@
 
 struct Attempt {
     AttemptId id;
-    HostName host;               // whom it is for
-    Incarnation incarnation = 0; // in which incarnation
+    HostName host;               // the receiver
+    Incarnation incarnation = 0; // the receiver's incarnation
     Epoch epoch = NoEpoch;       // NoEpoch for a plain service
     std::string customer;
     std::string method;
@@ -145,7 +148,7 @@
     std::string content_type;
     std::string body;
     std::string adapter;
-    std::uint32_t deadline_ms = 0; // from receipt
+    std::uint32_t deadline_ms = 0; // counted from the receipt of this message
     std::uint32_t class_weight = 10;
     std::uint32_t customer_weight = 10;
     std::uint32_t shed_order = 50;
@@ -153,10 +156,10 @@
     bool early_refusal = true;
     std::uint32_t resume_tokens = 0;   // tokens that the caller already has
     std::uint32_t window = 0;          // bytes that may be in flight towards the entry host
-    std::uint32_t expected_tokens = 0; // expected length of the answer, 0 where unknown
-    std::uint32_t slots = 0;           // calls in flight at a plain service
+    std::uint32_t expected_tokens = 0; // expected length of the response, 0 if unknown
+    std::uint32_t slots = 0;           // most calls in flight at a plain service
     bool repeatable = false;
-    bool streamed = false; // the answer is a stream of server-sent events
+    bool streamed = false; // the response is a stream of server-sent events
     MSGPACK_DEFINE(id, host, incarnation, epoch, customer, method, path, content_type, body,
                    adapter, deadline_ms, class_weight, customer_weight, shed_order, traffic_class,
                    early_refusal, resume_tokens, window, expected_tokens, slots, repeatable,
@@ -179,7 +182,7 @@
 struct GateState {
     HostName host;
     Incarnation incarnation = 0;
-    Epoch epoch = NoEpoch; // NoEpoch: no group is held
+    Epoch epoch = NoEpoch; // NoEpoch: the host belongs to no group
     bool open = false;
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
@@ -187,11 +190,11 @@
     MSGPACK_DEFINE(host, incarnation, epoch, open, running, waiting, can_resume)
 };
 
-// The attempt was not run and never will be.
+// The agent did not run the attempt and never will.
 struct Refused {
     AttemptId id;
     FailureKind reason = FailureKind::NoEndpoint;
-    std::uint32_t retry_after_ms = 0; // 0 where another endpoint may take it at once
+    std::uint32_t retry_after_ms = 0; // 0 if the attempt may be sent to another endpoint at once
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
     MSGPACK_DEFINE(id, reason, retry_after_ms, running, waiting)
@@ -207,12 +210,12 @@
 struct Chunk {
     AttemptId id;
     std::uint32_t number = 0; // from 0, without gaps
-    std::uint32_t tokens = 0; // generated so far, resumed ones included
+    std::uint32_t tokens = 0; // generated so far, including those before a resumption
     std::string bytes;
     MSGPACK_DEFINE(id, number, tokens, bytes)
 };
 
-// Without it a stream is a failure, never an answer.
+// Marks the response as complete. A stream that stops without it has failed.
 struct End {
     AttemptId id;
     std::uint32_t chunks = 0;
@@ -222,33 +225,33 @@
     MSGPACK_DEFINE(id, chunks, bytes, running, waiting)
 };
 
-// The attempt ended without a whole answer. Where `started` is false it never reached the
+// The attempt ended without a complete response. If `started` is false, it never reached the
 // endpoint and never will.
 struct Broken {
     AttemptId id;
     bool started = true;
     FailureKind reason = FailureKind::EndpointFailed;
-    bool ended = false;   // the endpoint's process ended while it had the attempt
-    bool suspect = false; // and it looks as if the attempt ended it
+    bool ended = false;   // the endpoint's process ended while it was running the attempt
+    bool suspect = false; // the attempt is suspected to have caused that
     MSGPACK_DEFINE(id, started, reason, ended, suspect)
 };
 
-// ---- where endpoints register themselves
+// ---- deployments whose endpoints register themselves (liftweir-site-*)
 
-// A control host tells another who it is and whom it knows.
+// A control host introduces itself to another one and lists the control hosts that it knows.
 struct PeerHello {
     NodeId node = NoNode;
     std::vector<NodeId> nodes;
     std::uint64_t registry = 0; // digest of the endpoints that it knows
-    bool settled = false;       // it has run for long enough to have heard of all endpoints
-    std::uint64_t term = 0;     // of its log; only hosts of earlier releases read it
+    bool settled = false;       // it has run for long enough to have a report from every endpoint
+    std::uint64_t term = 0;     // of its log; only earlier releases read it
     MSGPACK_DEFINE(node, nodes, registry, settled, term)
 };
 
-// Reports that the receiver may not have yet.
+// Reports of endpoints that the receiver may not have yet.
 struct EndpointChanges {
     std::vector<EndpointReport> reports;
-    // How long ago each was heard of, in the same order; none where all were heard just now.
+    // Age of each report, in the same order; empty if all of them are current.
     std::vector<std::uint32_t> silent_ms;
     MSGPACK_DEFINE(reports, silent_ms)
 
@@ -257,21 +260,20 @@
     }
 };
 
-// Endpoints that have registered again without a change.
+// Endpoints that have renewed their registration without a change.
 struct EndpointsAlive {
     std::vector<EndpointId> ids;
-    std::vector<std::uint64_t>
-        digests; // of their reports; only hosts of earlier releases read them
+    std::vector<std::uint64_t> digests; // of their reports; only earlier releases read them
     MSGPACK_DEFINE(ids, digests)
 };
 
-// The document in force, whole.
+// The complete document that is in force.
 struct DocumentPush {
     StoredDocument document;
     MSGPACK_DEFINE(document)
 };
 
-// All streams of a group stand still at an entry host.
+// All streams of a group have stalled at the sending entry host.
 struct GroupSuspected {
     Epoch epoch = NoEpoch;
     EndpointId lead;
@@ -279,69 +281,73 @@
     MSGPACK_DEFINE(epoch, lead, silent_ms)
 };
 
-// Groups that serve no more, though their leads, which are lost, last said that they do.
+// Groups that no longer serve, although the last reports of their lost leads say that they do.
 struct GroupsDissolved {
     std::vector<Epoch> epochs;
     MSGPACK_DEFINE(epochs)
 };
 
-// Endpoints that a control host knew before it lost power. Only for an entry host that has just
-// begun; what endpoints say since then goes first.
+// Endpoints that a control host knew before it lost power. Sent only to an entry host that has just
+// started; any newer report of an endpoint takes precedence.
 struct EndpointsRestored {
     std::vector<EndpointReport> reports;
     MSGPACK_DEFINE(reports)
 };
 
-// What an entry host has under way at groups; from control, what the other entry hosts have.
+// The work that an entry host has in progress at groups; from control, the work of the other entry
+// hosts.
 struct GroupLoadReports {
-    std::string entry;             // who tells; empty from control
-    std::uint32_t interval_ms = 0; // from control: how often the host is to tell, and is told
+    std::string entry;             // the sender; empty from control
+    std::uint32_t interval_ms = 0; // from control: interval of these messages in both directions
     std::vector<GroupLoadReport> shares;
     MSGPACK_DEFINE(entry, interval_ms, shares)
 };
 
-// Digests of the sender's registry by range of names, where the receiver's differs.
+// Digests of the sender's registry by range of names, sent when the receiver's registry differs.
 struct RegistryDigests {
     RangeDigests ranges{};
     MSGPACK_DEFINE(ranges)
 };
 
-// The receiver's reports of these ranges are wanted.
+// Requests the receiver's reports of these ranges.
 struct RangesRequested {
     std::vector<std::uint32_t> ranges;
     MSGPACK_DEFINE(ranges)
 };
 
-// An endpoint broke these requests off. From who saw it, and from one control host to another.
+// An endpoint aborted these requests. Sent by the entry host that noticed it, and forwarded from
+// one control host to another.
 struct RequestsAborted {
     EndpointId endpoint;
     std::vector<AbortedRequest> requests;
     MSGPACK_DEFINE(endpoint, requests)
 };
 
-// What the sender knows of requests that end endpoints, and which ones were answered after all.
+// Requests that the sender suspects of crashing endpoints, and requests that have been answered
+// since and are cleared.
 struct SuspectRequests {
     std::vector<SuspectRequest> known;
     std::vector<Fingerprint> cleared;
     MSGPACK_DEFINE(known, cleared)
 };
 
-// What endpoints say of the requests a second that they take. From who was told, and from control.
+// Request rates that endpoints announce as their limits. Sent by the entry host that received the
+// announcement, and forwarded by control.
 struct LimitReports {
     std::vector<LimitReport> reports;
     MSGPACK_DEFINE(reports)
 };
 
-// The control host that leads lends parts of the limits to an entry host. They count from when the
-// LeaseRenewal of this sequence left.
+// Shares of rate limits that the leading control host grants to an entry host. They are valid from
+// the time at which the LeaseRenewal with this sequence was sent.
 struct LimitShares {
     std::uint64_t sequence = 0;
     std::vector<LimitShare> limit_shares;
     MSGPACK_DEFINE(sequence, limit_shares)
 };
 
-// Endpoints that have announced in their answers that they leave. From who was told, and from
-// control.
+// Endpoints that have announced in their responses that they are leaving. Sent by the entry host
+// that received the announcement, and forwarded by control.
 struct EndpointsLeaving {
     std::vector<EndpointId> ids;
     MSGPACK_DEFINE(ids)
@@ -355,7 +361,7 @@
                  RegistryDigests, RangesRequested, RequestsAborted, SuspectRequests, LimitReports,
                  LimitShares, EndpointsLeaving>;
 
-// Names of the alternatives, in their order, for metrics.
+// Names of the alternatives in their order, as metrics label them.
 constexpr std::array<std::string_view, std::variant_size_v<WireMessage>> MessageNames = {
     "raft",
     "agent_status",
@@ -392,8 +398,8 @@
 
 // ---- member to member, by UDP
 
-// Asks a member whether it holds its part of the group. Its echo carries the same epoch and
-// sequence, so an echo proves the member's state at some time after the ping was sent.
+// Asks a member whether it holds its part of the group. The reply carries the same epoch and
+// sequence, so it proves the member's state at some time after the ping was sent.
 struct Ping {
     Epoch epoch = NoEpoch;
     std::uint64_t sequence = 0;
--- a/src/control_main.cpp
+++ b/src/control_main.cpp
@@ -1,3 +1,5 @@
+// liftweir-control: a control host, one replica of the state of hosts, groups and settings.
+
 #include "process/control.h"
 #include "process/logging.h"
 #include "process/program.h"
--- a/src/entry_main.cpp
+++ b/src/entry_main.cpp
@@ -1,3 +1,5 @@
+// liftweir-entry: an entry host, which accepts callers' requests and sends them to endpoints.
+
 #include "process/entry.h"
 #include "process/program.h"
 
