--- a/src/version/deployment.cpp
+++ b/src/version/deployment.cpp
@@ -1,3 +1,5 @@
+// Consistency checks of the operators' document.
+
 #include "version/deployment.h"
 
 #include <algorithm>
@@ -38,7 +40,7 @@
 
 } // namespace
 
-std::string host_of(std::string_view host) {
+std::string canonical_host(std::string_view host) {
     std::string out(host.substr(0, host.find(':')));
     std::transform(out.begin(), out.end(), out.begin(), [](char c) {
         return static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
@@ -46,11 +48,11 @@
     return out;
 }
 
-std::string place_of(const Route& route) {
-    std::string place = host_of(route.host) + route.prefix;
-    if (!place.ends_with('/'))
-        place += '/';
-    return place;
+std::string route_key(const Route& route) {
+    std::string canonical = canonical_host(route.host) + route.prefix;
+    if (!canonical.ends_with('/'))
+        canonical += '/';
+    return canonical;
 }
 
 const Service* Deployment::service(std::string_view name) const {
@@ -60,12 +62,12 @@
 }
 
 Expected<void> check(const Deployment& deployment) {
-    std::set<std::string> places;
+    std::set<std::string> route_keys;
     for (const Route& route : deployment.routes) {
         if (auto good = check_route(deployment, route); !good)
             return good;
-        if (!places.insert(place_of(route)).second)
-            return fail(FailureKind::BadSettings, "two routes at " + place_of(route));
+        if (!route_keys.insert(route_key(route)).second)
+            return fail(FailureKind::BadSettings, "two routes at " + route_key(route));
     }
     for (const Service& service : deployment.services)
         if (auto good = check_engine(service); !good)
--- a/src/version/deployment.h
+++ b/src/version/deployment.h
@@ -1,3 +1,6 @@
+// The operators' document of routes, services and customers, decoded, for deployments whose
+// endpoints register themselves and whose callers use plain HTTP.
+
 #ifndef DEPLOYMENT_H_INCLUDED
 #define DEPLOYMENT_H_INCLUDED
 
@@ -14,13 +17,10 @@
 
 namespace liftweir {
 
-// One version of the operators' document of routes, services and customers, decoded and checked.
-// Used where endpoints register themselves and callers speak plain HTTP (docs/design/platform.md).
-
 enum class CallKind : std::uint8_t {
     Safe,     // may run more than once
-    Unsafe,   // runs at most once for each attempt of a caller
-    Streaming // answered by a stream of events
+    Unsafe,   // runs at most once for each request of a caller
+    Streaming // the response is a stream of events
 };
 
 struct WeightedService {
@@ -35,14 +35,14 @@
     std::string host;   // compared without regard to case
     std::string prefix; // begins and ends with a slash
     CallKind kind = CallKind::Unsafe;
-    Duration timeout{};         // longest time that a call may be held
-    Duration latency_goal{};    // to the answer, or to the first event of a stream
-    Duration pause_goal{};      // longest pause between two events; zero where none is set
+    Duration timeout{};         // longest time that a call may wait for its response
+    Duration latency_goal{};    // to the response, or to the first event of a stream
+    Duration pause_goal{};      // longest pause between two events; zero if none is set
     std::uint32_t priority = 0; // 0 is most urgent
     std::vector<WeightedService> split;
     std::uint32_t max_attempts = 1; // endpoints that one call may be sent to
     bool needs_key = true;
-    bool resumable = false; // a broken stream may go on at another endpoint
+    bool resumable = false; // a broken stream may be resumed at another endpoint
 
     auto operator<=>(const Route&) const = default;
     bool repeatable() const {
@@ -50,54 +50,54 @@
     }
 };
 
-// A model and the shape of its groups.
+// A model and the properties of its groups.
 struct ModelShape {
     std::string name;
     std::uint32_t size = 1; // hosts of one group
-    double share = 1;       // part of the hosts that it is worth at the start
+    double share = 1;       // initial share of the hosts
     double pace = 1;        // factor on all engine times
-    Duration load{};        // from the weight store
-    Duration warm_join{};   // joining with the weights already on the host
+    Duration load{};        // time to load the weights from the weight store
+    Duration warm_join{};   // time to join a group with the weights already on the host
 
     auto operator<=>(const ModelShape&) const = default;
 };
 
-// What an engine's work costs. Times are for pace 1.
+// Cost model of an engine. Times are for pace 1.
 struct EngineCost {
-    std::uint32_t slots = 1;             // requests that a group works on at once
-    double step_ms = 0;                  // one token step
-    double step_ms_per_sequence = 0;     // more for each request that writes
-    double read_tokens_per_ms = 1;       // prompt tokens
-    std::uint32_t chunk = 1;             // prompt tokens read in one pass at most
-    std::uint32_t steps_per_pass = 1;    // token steps in one pass, each pass an event
-    double loads_per_second = 1;         // loads that may begin, over all hosts
-    std::uint32_t loads_at_once = 1;     // more slow each other down
-    Duration open_delay{};               // from the order to open until a group serves
-    double cross_domain_factor = 1;      // on all times of a group whose hosts are in two domains
+    std::uint32_t slots = 1;          // requests that a group processes concurrently
+    double step_ms = 0;               // time of one decoding step
+    double step_ms_per_sequence = 0;  // added for each request that is being decoded
+    double read_tokens_per_ms = 1;    // prompt tokens that are prefilled in one millisecond
+    std::uint32_t chunk = 1;          // most prompt tokens that one forward pass prefills
+    std::uint32_t steps_per_pass = 1; // decoding steps of one forward pass, which yields an event
+    double loads_per_second = 1;      // loads that may start, over all hosts
+    std::uint32_t loads_at_once = 1;  // concurrent loads beyond this slow each other down
+    Duration open_delay{};            // from the order to open until a group serves
+    double cross_domain_factor = 1;   // factor on all times of a group in two fabric domains
     std::uint32_t max_staged_models = 1; // models that a host keeps on its disk
     std::vector<ModelShape> models;
 
     auto operator<=>(const EngineCost&) const = default;
 };
 
-// Where a route lies, in one form: the host in lower case, and the path's beginning with a closing
-// slash. Two routes of equal places are the same one.
-std::string place_of(const Route& route);
+// Canonical form of a route's host and prefix: the host in lower case, and the prefix with a
+// closing slash. Two routes with the same key conflict.
+std::string route_key(const Route& route);
 // A host name without its port, in lower case.
-std::string host_of(std::string_view host);
+std::string canonical_host(std::string_view host);
 
 // Endpoints that do the same work.
 struct Service {
     std::string name;
-    std::uint32_t max_connections = 1; // one endpoint accepts so many from all entry hosts
-    std::optional<EngineCost> engine;  // nothing for a plain service
-    // An endpoint that has just started bears so many from all entry hosts; zero: no bound.
+    std::uint32_t max_connections = 1; // to one endpoint, from all entry hosts together
+    std::optional<EngineCost> engine;  // empty for a plain service
+    // Calls to an endpoint that has just started, from all entry hosts together; zero: no bound.
     double cold_calls_per_second = 0;
 
     auto operator<=>(const Service&) const = default;
 };
 
-// A customer, and the keys that show that a request comes from it.
+// A customer and the API keys that identify its requests.
 struct CustomerKeys {
     std::string name;
     std::vector<std::string> keys;
@@ -116,21 +116,22 @@
     auto operator<=>(const CallerLimits&) const = default;
 };
 
-// All settings that the operators change while the system runs: their document, decoded.
+// One version of the document, decoded: all settings that operators change while the system runs.
 struct Deployment {
     Version version = 0;
     std::vector<Route> routes;
     std::vector<Service> services;
-    std::vector<CustomerKeys> customers; // none: no route needs a key
+    std::vector<CustomerKeys> customers; // if empty, no route needs a key
     CallerLimits limits;
 
     bool operator==(const Deployment&) const = default;
-    // Null where there is none of the name.
+    // The service with this name; null if there is none.
     const Service* service(std::string_view name) const;
 };
 
 // Fails with BadSettings and names the first contradiction: a route to an unknown service, two
-// routes in one place, weights without a sum, a time limit of zero, a key of two customers.
+// routes with the same host and prefix, weights that sum to zero, a timeout of zero, a key that two
+// customers share.
 Expected<void> check(const Deployment& deployment);
 
 } // namespace liftweir
--- a/src/version/endpointid.cpp
+++ b/src/version/endpointid.cpp
@@ -1,3 +1,5 @@
+// Text form of endpoint identities.
+
 #include "version/endpointid.h"
 
 namespace liftweir {
--- a/src/version/endpointid.h
+++ b/src/version/endpointid.h
@@ -1,3 +1,5 @@
+// Identity of an endpoint that registers itself.
+
 #ifndef ENDPOINTID_H_INCLUDED
 #define ENDPOINTID_H_INCLUDED
 
@@ -9,11 +11,11 @@
 
 namespace liftweir {
 
-// One incarnation of an endpoint. It may start again under the name that it had, and then holds and
-// knows nothing of before; later starts under a name order after the earlier ones.
+// One incarnation of an endpoint. An endpoint may restart under the same name and then has none of
+// its earlier state. Later starts under a name compare greater than earlier ones.
 struct EndpointId {
     std::string name;
-    std::uint64_t started_ms = 0; // Unix time, by its own word; 0 where it tells none
+    std::uint64_t started_ms = 0; // Unix time as the endpoint reports it; 0 if it reports none
 
     EndpointId() = default;
     EndpointId(std::string name_, std::uint64_t started_ms_ = 0)
@@ -25,13 +27,13 @@
 
     bool empty() const { return name.empty(); }
     bool has_start_time() const { return started_ms != 0; }
-    // An earlier start under the same name.
+    // True for an earlier start under the same name.
     bool started_before(const EndpointId& other) const {
         return name == other.name && started_ms < other.started_ms;
     }
 };
 
-// NAME, or NAME@START where the start is told; for the log.
+// NAME, or NAME@START if the start time is known; for the log.
 std::string text_of(const EndpointId& id);
 
 } // namespace liftweir
--- a/src/version/fingerprint.cpp
+++ b/src/version/fingerprint.cpp
@@ -1,3 +1,5 @@
+// Computes fingerprints from the SHA-256 of a request's parts.
+
 #include "version/fingerprint.h"
 
 #include "connection/secret.h"
@@ -9,10 +11,10 @@
 
 namespace {
 
-constexpr std::size_t HexOfWord = 16;
+constexpr std::size_t HexDigitsPerWord = 16;
 constexpr int HexBase = 16;
 
-// With its length before it, no part can run over into the next one.
+// Prefixes each part with its length, so that two different requests never give the same text.
 void add_part(std::string& text, std::string_view part) {
     text += std::to_string(part.size());
     text += ':';
@@ -20,7 +22,7 @@
 }
 
 std::uint64_t word_at(const std::string& hex, std::size_t at) {
-    return std::strtoull(hex.substr(at, HexOfWord).c_str(), nullptr, HexBase);
+    return std::strtoull(hex.substr(at, HexDigitsPerWord).c_str(), nullptr, HexBase);
 }
 
 } // namespace
@@ -31,11 +33,11 @@
          {content.customer, content.method, content.host, content.target, content.body})
         add_part(text, part);
     const std::string hex = sha256_hex(text);
-    return {word_at(hex, 0), word_at(hex, HexOfWord)};
+    return {word_at(hex, 0), word_at(hex, HexDigitsPerWord)};
 }
 
 std::string text_of(const Fingerprint& fingerprint) {
-    char text[2 * HexOfWord + 1];
+    char text[2 * HexDigitsPerWord + 1];
     (void)std::snprintf(text, sizeof text, "%016llx%016llx",
                         static_cast<unsigned long long>(fingerprint.high),
                         static_cast<unsigned long long>(fingerprint.low));
--- a/src/version/fingerprint.h
+++ b/src/version/fingerprint.h
@@ -1,3 +1,5 @@
+// Fingerprints that recognise repeated requests, e.g. those that crash endpoints.
+
 #ifndef FINGERPRINT_H_INCLUDED
 #define FINGERPRINT_H_INCLUDED
 
@@ -9,9 +11,9 @@
 
 namespace liftweir {
 
-// Identifies what is asked, by whom: who asks the same again has the same one, under whatever
-// request id and at whatever entry host. 128 bits of a SHA-256, so that nobody can choose a request
-// that is taken for another's.
+// Identifies the content and the customer of a request: a repeated request has the same fingerprint
+// under any request id and at any entry host. It consists of 128 bits of a SHA-256, so that nobody
+// can construct a request that is taken for another one.
 struct Fingerprint {
     std::uint64_t high = 0;
     std::uint64_t low = 0;
@@ -20,11 +22,11 @@
     MSGPACK_DEFINE(high, low)
 };
 
-// What a fingerprint is made of.
+// The parts of a request that its fingerprint covers.
 struct RequestContent {
-    std::string_view customer; // empty where the route needs no key
+    std::string_view customer; // empty if the route needs no key
     std::string_view method;
-    std::string_view host; // of the route, so that its spelling does not matter
+    std::string_view host; // as the route spells it, so that the request's spelling does not matter
     std::string_view target;
     std::string_view body;
 
@@ -33,7 +35,7 @@
 
 Fingerprint fingerprint_of(const RequestContent& content);
 
-// 32 hex digits; for the log.
+// 32 hexadecimal digits; for the log.
 std::string text_of(const Fingerprint& fingerprint);
 
 } // namespace liftweir
--- a/src/version/keys.cpp
+++ b/src/version/keys.cpp
@@ -1,3 +1,5 @@
+// The settings keys themselves, and the matching of keys against their patterns.
+
 #include "version/keys.h"
 
 #include <algorithm>
@@ -48,7 +50,8 @@
     return row.back();
 }
 
-// Puts the operator's names of `key` in place of the stars, so that the hint can be pasted.
+// Replaces the stars of a pattern with the operator's names from `key`, so that an operator can
+// paste the suggested key.
 std::string fill(std::string_view pattern, std::string_view key) {
     const auto given = split(key);
     std::string out;
--- a/src/version/keys.h
+++ b/src/version/keys.h
@@ -1,3 +1,5 @@
+// The table of all settings keys with their types, bounds and defaults, and the checks of values.
+
 #ifndef KEYS_H_INCLUDED
 #define KEYS_H_INCLUDED
 
@@ -13,34 +15,34 @@
 
 enum class ValueType : unsigned char { Bool, Integer, Number, Text, Choice, TextList, Digest };
 
-// One row of the table that drives checking, the command line and the generated docs page.
+// One row of the table from which the checks, the command line and the documentation are derived.
 struct KeySpec {
-    std::string_view pattern; // segments joined by '/', with '*' for a name chosen by the operator
+    std::string_view pattern; // segments joined by '/'; '*' stands for a name that operators choose
     ValueType type;
     std::string_view unit;
     double min;
     double max;
-    std::string_view fallback; // JSON text
+    std::string_view fallback; // default value as JSON text
     std::string_view doc;
     std::vector<std::string_view> choices = {};
 };
 
 const std::vector<KeySpec>& key_table();
 
-// Null where no row matches.
+// The row whose pattern matches the key; null if there is none.
 const KeySpec* find_key(std::string_view key);
 
-// The known key with the smallest edit distance, with the operator's names kept.
+// The known key with the smallest edit distance, with the operator's names filled in.
 std::string nearest_key(std::string_view key);
 
-// Fails with BadSettings; the text names the key, what was found and what is allowed.
+// Fails with BadSettings; the text names the key, the value that was found and the allowed values.
 Expected<void> check_value(std::string_view key, const Json::Value& value);
 
 std::string_view name_of(ValueType type);
-// The allowed values in words, for messages and docs.
+// Describes the allowed values, for messages and documentation.
 std::string allowed_values(const KeySpec& spec);
 
-// Strict parse with a bound on depth. Fails with BadSettings.
+// Parses JSON strictly, with a bound on the depth. Fails with BadSettings.
 Expected<Json::Value> parse_json(std::string_view text);
 std::string to_text(const Json::Value& value);
 
--- a/src/version/settings.cpp
+++ b/src/version/settings.cpp
@@ -1,3 +1,5 @@
+// Changes to the settings tree and the resolution of a site's values.
+
 #include "version/settings.h"
 
 #include <algorithm>
@@ -10,7 +12,7 @@
 constexpr std::size_t MaxLevels = 3;
 constexpr std::size_t MaxNameBytes = 512;
 
-// "a/b/c" gives "a", "a/b", "a/b/c".
+// The levels from the root to a site: "a/b/c" gives "a", "a/b", "a/b/c".
 std::vector<std::string> levels_to(const std::string& site) {
     std::vector<std::string> out;
     for (std::size_t at = site.find('/'); at != std::string::npos; at = site.find('/', at + 1))
@@ -50,7 +52,7 @@
     levels_[change.path][change.key] = Setting{change.text, version, author};
 }
 
-// Never lets an older value win: deltas may arrive twice or out of order.
+// Ignores an older version of a value, since deltas may arrive twice or out of order.
 void SettingsTree::put(const PlacedSetting& item) {
     Setting& known = levels_[item.path][item.key];
     if (item.setting.version >= known.version)
--- a/src/version/settings.h
+++ b/src/version/settings.h
@@ -1,3 +1,5 @@
+// The versioned settings of all sites: a tree in which a lower level overrides a higher one.
+
 #ifndef SETTINGS_H_INCLUDED
 #define SETTINGS_H_INCLUDED
 
@@ -15,8 +17,8 @@
 
 using Version = std::uint64_t;
 
-// One value at one level of the tree. An unset value stays as a tombstone, so that a process that
-// missed the change learns of it from a delta.
+// One value at one level of the tree. Unsetting a value leaves a tombstone, so that a delta also
+// carries the removal to processes that missed it.
 struct Setting {
     std::string text; // JSON; empty for a tombstone
     Version version = 0;
@@ -27,7 +29,7 @@
 };
 
 struct SettingChange {
-    std::string path; // level: organisation, organisation/region or organisation/region/site
+    std::string path; // the level: organisation, organisation/region or organisation/region/site
     std::string key;
     std::string text; // JSON; empty to unset
 
@@ -35,7 +37,7 @@
     MSGPACK_DEFINE(path, key, text)
 };
 
-// A setting with its place in the tree, as sent to the processes.
+// A setting with its position in the tree, as it is sent to other processes.
 struct PlacedSetting {
     std::string path;
     std::string key;
@@ -45,7 +47,8 @@
     MSGPACK_DEFINE(path, key, setting)
 };
 
-// Where a resolved value comes from: one step per level, the deciding one last.
+// One level that contributes to a resolved value. Steps are listed from the default downwards; the
+// last one decides.
 struct ExplainStep {
     std::string path; // empty for the built-in default
     std::string text;
@@ -53,10 +56,10 @@
     std::string author;
 };
 
-// The tree of settings: a value at a lower level overrides the same key above it.
+// The tree of settings. A value at a lower level overrides the value of the same key above it.
 class SettingsTree {
   public:
-    // Fails with BadSettings.
+    // Checks the path, the key and the value. Fails with BadSettings.
     static Expected<void> check(const SettingChange& change);
     void apply(const SettingChange& change, Version version, const std::string& author);
     void put(const PlacedSetting& item);
@@ -64,7 +67,8 @@
     std::optional<Setting> at(const std::string& path, const std::string& key) const;
     std::vector<ExplainStep> explain(const std::string& site, const std::string& key) const;
     std::vector<PlacedSetting> changed_since(Version version) const;
-    // Every key that any level on the way to `site` sets, with its deciding value.
+    // Every key that is set at any level from the organisation down to `site`, with its effective
+    // value as JSON text.
     std::map<std::string, std::string> resolve(const std::string& site) const;
     std::vector<std::string> paths() const;
     bool operator==(const SettingsTree&) const = default;
@@ -86,7 +90,7 @@
     double number(const std::string& key) const;
     std::string text(const std::string& key) const;
     std::vector<std::string> texts(const std::string& key) const;
-    // Names chosen by operators under a prefix: names_under("models").
+    // Names that operators have chosen under a prefix, e.g. all models for names_under("models").
     std::vector<std::string> names_under(const std::string& prefix) const;
 
   private:
--- a/src/version/state.cpp
+++ b/src/version/state.cpp
@@ -1,3 +1,5 @@
+// Applies the commands of the log to the replicated state.
+
 #include "version/state.h"
 
 #include "connection/codec.h"
@@ -9,14 +11,14 @@
 
 namespace {
 
-// Long enough for an operator's tool to resend after an outage of a day at 740 changes a day.
-constexpr std::size_t OrdersKept = 4096;
-constexpr std::size_t HistoryKept = 2048;
-// At 300 restarts a day a process may miss more than a week before it needs everything anew.
-constexpr std::size_t RemovedKept = 4096;
-constexpr std::size_t DroppedKept = 4096;
-// Each has ended three endpoints; that many are under attack.
-constexpr std::size_t QuarantinedKept = 1024;
+// Enough for an operator's tool to resend a command after an outage of a day, at 740 changes a day.
+constexpr std::size_t MaxStoredOrders = 4096;
+constexpr std::size_t MaxHistoryRecords = 2048;
+// At 300 restarts a day, a process may miss more than a week before it needs a full copy.
+constexpr std::size_t MaxRemovedGroups = 4096;
+constexpr std::size_t MaxDroppedClaims = 4096;
+// Each of these requests has crashed three endpoints; this many of them occur only in an attack.
+constexpr std::size_t MaxQuarantinedRequests = 1024;
 constexpr std::size_t MaxIdempotencyKeyBytes = 256;
 
 ApplyResult refuse(FailureKind kind, std::string detail) {
@@ -77,7 +79,7 @@
 
 void State::unbind(Version index, Host& host) {
     const Epoch epoch = std::exchange(host.bound, NoEpoch);
-    host.left.push_back(epoch);
+    host.previous_groups.push_back(epoch);
     touch(index, host);
     drop_group_if_released(index, epoch);
 }
@@ -88,8 +90,8 @@
     group.changed = table_version_ = index;
 }
 
-// Only its lead forwards work for a group. Once the lead is unbound, by its own acknowledgement,
-// by a restart or by an operator who vouches that it is off, the group can not serve any more.
+// Only the lead forwards requests to its group. The group can not serve any more once the lead is
+// unbound: by its own acknowledgement, by a restart, or by an operator who confirms that it is off.
 bool State::may_be_open(Epoch epoch) const {
     const auto group = groups_.find(epoch);
     if (group == groups_.end())
@@ -111,14 +113,15 @@
     groups_.erase(found);
     table_version_ = index;
     removed_.push_back({index, epoch});
-    if (removed_.size() > RemovedKept) {
+    if (removed_.size() > MaxRemovedGroups) {
         removed_floor_ = removed_.front().at;
         removed_.pop_front();
     }
 }
 
-// A new incarnation of an agent holds nothing: its predecessor is gone, since both need the same
-// port. The group that it was part of can never be whole again under its epoch.
+// A new incarnation of an agent belongs to no group: the previous agent process has ended, since
+// both need the same port. The group that it was part of can not become complete again under its
+// epoch, so it is released.
 ApplyResult State::on(Version index, const RegisterHost& c) {
     Host& host = hosts_[c.spec.name];
     if (c.incarnation < host.incarnation)
@@ -141,8 +144,7 @@
     return done(index);
 }
 
-// A resend, or a change that a newer one has overtaken, is answered like the first time and
-// changes nothing.
+// A resent or superseded document changes nothing and succeeds like the first one.
 ApplyResult State::on(Version index, const ReplaceDocument& c) {
     if (c.version > document_.version) {
         document_ = {c.version, index, c.body};
@@ -151,7 +153,7 @@
     return done(document_.version);
 }
 
-// Those whose time is over make room; of the others, the one whose time is over first.
+// Removes expired records; if there are still too many, removes the one that expires first.
 ApplyResult State::on(Version index, const QuarantineRequest& c) {
     std::erase_if(quarantined_, [&](const auto& item) { return item.second.until_ms <= c.now_ms; });
     if (c.until_ms <= c.now_ms) {
@@ -161,7 +163,7 @@
     QuarantineRecord& record = quarantined_[c.content];
     record.ends = std::max(record.ends, c.ends);
     record.until_ms = std::max(record.until_ms, c.until_ms);
-    if (quarantined_.size() > QuarantinedKept)
+    if (quarantined_.size() > MaxQuarantinedRequests)
         quarantined_.erase(std::min_element(
             quarantined_.begin(), quarantined_.end(),
             [](const auto& a, const auto& b) { return a.second.until_ms < b.second.until_ms; }));
@@ -191,27 +193,27 @@
     if (entry == c.entry)
         return done(index);
     if (entry.incarnation != c.entry.incarnation && entry.incarnation != 0)
-        disown_claims(entry.incarnation);
+        mark_claims_unknown(entry.incarnation);
     entry = c.entry;
     table_version_ = index;
     return done(index);
 }
 
-// Once retired, an entry host can not renew its settings lease before it has registered anew, so
-// changes of settings need not wait for it.
+// A retired entry host can not renew its settings lease before it has registered again, so changes
+// of settings need not wait for it.
 ApplyResult State::on(Version index, const RetireEntry& c) {
     const auto found = entries_.find(c.name);
     if (found == entries_.end() || found->second.incarnation != c.incarnation)
         return refuse(FailureKind::NotFound, c.name);
-    disown_claims(c.incarnation);
+    mark_claims_unknown(c.incarnation);
     entries_.erase(found);
     lease_version_ = table_version_ = index;
     return done(index);
 }
 
-// Nobody is left to say how these calls ended. Unknown is always safe to say, and a late answer
-// of a holder that was only slow still mends it.
-void State::disown_claims(Incarnation entry) {
+// No process can report how the calls of this entry host ended. Unknown is always safe, and a late
+// result of a holder that was only slow still corrects it.
+void State::mark_claims_unknown(Incarnation entry) {
     for (auto& [customer, claims] : claims_)
         for (auto& [key, record] : claims)
             if (record.holder.entry == entry && record.phase == ClaimPhase::Running)
@@ -231,7 +233,7 @@
     return done(index);
 }
 
-// The only place that binds hosts to a group.
+// The only command that binds hosts to a group.
 ApplyResult State::on(Version index, const FormGroup& c) {
     if (c.members.empty())
         return refuse(FailureKind::BadRequest, "no members");
@@ -254,9 +256,9 @@
             return refuse(FailureKind::Conflict, ref.host + " is in another fabric domain");
         group.members.push_back(
             {ref.host, ref.incarnation, host.spec.address, host.spec.ping_address});
-        group.waits_to_open =
-            group.waits_to_open || std::any_of(host.left.begin(), host.left.end(),
-                                               [this](Epoch epoch) { return may_be_open(epoch); });
+        group.waits_to_open = group.waits_to_open ||
+                              std::any_of(host.previous_groups.begin(), host.previous_groups.end(),
+                                          [this](Epoch epoch) { return may_be_open(epoch); });
     }
     const HostSpec& lead = hosts_.at(c.members.front().host).spec;
     group.site = lead.site;
@@ -265,7 +267,7 @@
     for (const HostRef& ref : c.members) {
         Host& host = hosts_.at(ref.host);
         host.bound = index;
-        std::erase_if(host.left, [this](Epoch epoch) { return !may_be_open(epoch); });
+        std::erase_if(host.previous_groups, [this](Epoch epoch) { return !may_be_open(epoch); });
         touch(index, host);
     }
     groups_.emplace(index, std::move(group));
@@ -300,22 +302,22 @@
         return known;
     const auto found = hosts_.find(c.host);
     if (found == hosts_.end())
-        return remember(c.order, refuse(FailureKind::NotFound, c.host));
+        return store_order_result(c.order, refuse(FailureKind::NotFound, c.host));
     Host& host = found->second;
     host.mode = c.mode;
     touch(index, host);
-    // The operator vouches that a forgotten host is off, so it holds nothing any more.
+    // The operator confirms that a forgotten host is off, so it no longer belongs to a group.
     if (c.mode == HostMode::Forgotten && host.bound != NoEpoch) {
         const auto group = groups_.find(host.bound);
         if (group != groups_.end())
             start_release(index, group->second, c.host + " was forgotten");
         unbind(index, host);
     }
-    return remember(c.order, done(index));
+    return store_order_result(c.order, done(index));
 }
 
-// Compare-and-set: of two operators who saw the same version, the first in the log wins and the
-// second is shown what won. A resend of an order gets the first answer.
+// Compare-and-set: of two changes based on the same version, the first in the log wins, and the
+// second one fails with a description of the first. A resent command gets the first result.
 ApplyResult State::on(Version index, const ChangeSettings& c) {
     ApplyResult known;
     if (known_order(c.order, known) != nullptr)
@@ -325,22 +327,23 @@
             history_.empty() ? "no change was made yet" : describe(history_.back());
         ApplyResult conflict = refuse(FailureKind::Conflict, winner);
         conflict.version = settings_version_;
-        return remember(c.order, conflict);
+        return store_order_result(c.order, conflict);
     }
     for (const SettingChange& change : c.changes)
         if (const auto checked = SettingsTree::check(change); !checked)
-            return remember(c.order, refuse(checked.error().kind, checked.error().detail));
+            return store_order_result(c.order,
+                                      refuse(checked.error().kind, checked.error().detail));
     for (const SettingChange& change : c.changes)
         settings_.apply(change, index, c.author);
     settings_version_ = lease_version_ = index;
     history_.push_back({index, c.author, c.wall_ms, c.changes});
-    if (history_.size() > HistoryKept)
+    if (history_.size() > MaxHistoryRecords)
         history_.pop_front();
-    return remember(c.order, done(index));
+    return store_order_result(c.order, done(index));
 }
 
-// Claiming is idempotent by attempt: an entry host that lost the answer asks again and learns
-// that the claim is its own.
+// Claiming is idempotent by attempt: an entry host that lost the reply sends the claim again and
+// learns that it holds the claim.
 ApplyResult State::on(Version index, const ClaimOnce& c) {
     if (c.key.size() > MaxIdempotencyKeyBytes)
         return refuse(FailureKind::BadRequest, "the idempotency key is longer than 256 bytes");
@@ -383,7 +386,7 @@
     ClaimRecord& record = customer->second.at(c.key);
     if (record.holder != c.attempt)
         return refuse(FailureKind::Conflict, "the claim has another holder");
-    // Unknown may be mended by a late answer; Completed is final.
+    // A late result may still replace Unknown; Completed is final.
     if (record.phase != ClaimPhase::Completed) {
         record.phase = c.phase;
         record.answer = c.answer;
@@ -392,12 +395,12 @@
     return done(index);
 }
 
-// A claim that its entry host gave up while control was out of reach may still be on its way: a
-// tombstone keeps it from taking the key for a call that nobody will make.
+// A claim that an entry host withdraws while control is unreachable may still arrive later. A
+// tombstone prevents it from taking the key for a call that will never be sent.
 ApplyResult State::on(Version index, const DropClaim& c) {
     if (dropped_.insert(c.attempt).second) {
         dropped_queue_.push_back(c.attempt);
-        if (dropped_queue_.size() > DroppedKept) {
+        if (dropped_queue_.size() > MaxDroppedClaims) {
             dropped_.erase(dropped_queue_.front());
             dropped_queue_.pop_front();
         }
@@ -426,15 +429,15 @@
         return known;
     const auto customer = claims_.find(c.customer);
     if (customer == claims_.end() || !customer->second.contains(c.key))
-        return remember(c.order, refuse(FailureKind::NotFound, "no such claim"));
+        return store_order_result(c.order, refuse(FailureKind::NotFound, "no such claim"));
     ClaimRecord& record = customer->second.at(c.key);
     if (record.phase == ClaimPhase::Completed)
-        return remember(c.order, refuse(FailureKind::Conflict, "the claim is completed"));
+        return store_order_result(c.order, refuse(FailureKind::Conflict, "the claim is completed"));
     if (c.ran)
         record.phase = ClaimPhase::Completed;
     else
         customer->second.erase(c.key);
-    return remember(c.order, done(index));
+    return store_order_result(c.order, done(index));
 }
 
 const ApplyResult* State::known_order(const std::string& order, ApplyResult& out) const {
@@ -446,12 +449,12 @@
     return &out;
 }
 
-ApplyResult State::remember(const std::string& order, ApplyResult result) {
+ApplyResult State::store_order_result(const std::string& order, ApplyResult result) {
     if (order.empty())
         return result;
     orders_[order] = {result.ok, result.failure, result.detail, result.version};
     order_queue_.push_back(order);
-    if (order_queue_.size() > OrdersKept) {
+    if (order_queue_.size() > MaxStoredOrders) {
         orders_.erase(order_queue_.front());
         order_queue_.pop_front();
     }
--- a/src/version/state.h
+++ b/src/version/state.h
@@ -1,3 +1,5 @@
+// The replicated state of the control hosts, and the commands of the Raft log that change it.
+
 #ifndef STATE_H_INCLUDED
 #define STATE_H_INCLUDED
 
@@ -21,7 +23,7 @@
 
 using HostName = std::string;
 using Incarnation = std::uint64_t;
-// A group's epoch is the log index that formed it: unique and monotone.
+// A group's epoch is the log index of the command that formed it: unique and increasing.
 using Epoch = std::uint64_t;
 
 constexpr Epoch NoEpoch = 0;
@@ -52,11 +54,11 @@
     HostMode mode = HostMode::Active;
     Epoch bound = NoEpoch; // group that the host belongs to or has not yet released
     Version changed = 0;
-    // Groups that the host was bound to and whose lead may still hold them open.
-    std::vector<Epoch> left;
+    // Earlier groups of this host whose lead may still have its gate open.
+    std::vector<Epoch> previous_groups;
 
     auto operator<=>(const Host&) const = default;
-    MSGPACK_DEFINE(spec, incarnation, mode, bound, changed, left)
+    MSGPACK_DEFINE(spec, incarnation, mode, bound, changed, previous_groups)
 };
 
 struct Member {
@@ -78,8 +80,8 @@
     MSGPACK_DEFINE(model, version, adapters)
 };
 
-// Active groups serve while their lead's gate is open. Draining ones finish what they have.
-// Releasing ones wait until their members have acknowledged the release.
+// An active group serves while its lead's gate is open. A draining group finishes its requests but
+// admits no new ones. A releasing group waits until all members have acknowledged the release.
 enum class GroupPhase : std::uint8_t { Active, Draining, Releasing };
 
 struct Group {
@@ -88,11 +90,11 @@
     std::string domain;
     std::string zone;
     ModelSpec model;
-    std::vector<Member> members; // the first one leads
+    std::vector<Member> members; // the lead first
     GroupPhase phase = GroupPhase::Active;
     std::string reason;
     Version changed = 0;
-    // A member's old group may still be open: its lead has not acknowledged the release.
+    // An earlier group of a member may still be open: its lead has not acknowledged the release.
     bool waits_to_open = false;
 
     const Member& lead() const { return members.front(); }
@@ -110,7 +112,7 @@
     MSGPACK_DEFINE(name, incarnation, address, site)
 };
 
-// One attempt of one request, unique over all entry hosts and their restarts.
+// Identifies one attempt of one request, unique across all entry hosts and their restarts.
 struct AttemptId {
     Incarnation entry = 0;
     std::uint64_t sequence = 0;
@@ -131,7 +133,7 @@
     MSGPACK_DEFINE(status, content_type, body)
 };
 
-// Right to run a call that may not be repeated.
+// The claim of an idempotency key: the right to run a call that must not be repeated.
 struct ClaimRecord {
     std::string digest; // of method, path and body
     AttemptId holder;
@@ -144,7 +146,8 @@
     MSGPACK_DEFINE(digest, holder, phase, answer, answer_kept, claimed_ms)
 };
 
-// Commands of the log. Alternatives and fields are only ever appended.
+// Commands of the log. New alternatives and fields are only appended, so that existing logs and
+// older releases keep working.
 
 struct RegisterHost {
     HostSpec spec;
@@ -164,7 +167,8 @@
     MSGPACK_DEFINE(host, incarnation, epoch)
 };
 
-// The entry host has been silent for long: what it was running may or may not have run.
+// Removes an entry host that has been unreachable for a long time. The outcome of its running calls
+// is unknown.
 struct RetireEntry {
     std::string name;
     Incarnation incarnation = 0;
@@ -198,7 +202,7 @@
 };
 
 struct SetHostMode {
-    std::string order; // operator's order id
+    std::string order; // id of the operator's command, by which a resend is recognised
     HostName host;
     HostMode mode = HostMode::Active;
     std::string author;
@@ -207,7 +211,7 @@
 
 struct ChangeSettings {
     std::string order;
-    Version base = 0; // settings version that the operator has seen
+    Version base = 0; // settings version that the change is based on
     std::string author;
     std::vector<SettingChange> changes;
     std::int64_t wall_ms = 0;
@@ -220,7 +224,7 @@
     std::string digest;
     AttemptId attempt;
     std::int64_t wall_ms = 0;
-    std::uint32_t limit = 0; // claims that the customer may hold
+    std::uint32_t limit = 0; // most claims that the customer may hold
     MSGPACK_DEFINE(customer, key, digest, attempt, wall_ms, limit)
 };
 
@@ -234,7 +238,7 @@
     MSGPACK_DEFINE(customer, key, attempt, phase, answer, answer_kept)
 };
 
-// The holder never sent the call: somebody else may claim it.
+// Withdraws a claim whose holder never sent the call, so that the key can be claimed again.
 struct DropClaim {
     std::string customer;
     std::string key;
@@ -247,7 +251,7 @@
     MSGPACK_DEFINE(before_ms)
 };
 
-// An operator who has looked at the endpoint says whether the call ran.
+// An operator who has inspected the endpoint decides whether the call ran.
 struct ResolveClaim {
     std::string order;
     std::string customer;
@@ -257,20 +261,21 @@
     MSGPACK_DEFINE(order, customer, key, ran, author)
 };
 
-// The operators' whole document of routes, services and customers, exactly as it was sent. The
-// highest version wins; the bytes are opaque to the log.
+// Replaces the operators' document of routes, services and customers. The body is stored exactly as
+// it was sent and not interpreted here. The highest version wins.
 struct ReplaceDocument {
     Version version = 0;
     std::string body;
     MSGPACK_DEFINE(version, body)
 };
 
-// No endpoint gets the request until then: it ends those that run it. Wall times, of the leader.
+// Quarantines a request that crashes the endpoints that run it: until the given time it is sent to
+// no endpoint. Times are wall times of the leader.
 struct QuarantineRequest {
     Fingerprint content;
-    std::uint32_t ends = 0;    // endpoints that it has ended
-    std::int64_t until_ms = 0; // 0: it may run again
-    std::int64_t now_ms = 0;   // when this was decided
+    std::uint32_t ends = 0;    // endpoints that the request has crashed
+    std::int64_t until_ms = 0; // 0 lifts the quarantine
+    std::int64_t now_ms = 0;   // time of the decision
     MSGPACK_DEFINE(content, ends, until_ms, now_ms)
 };
 
@@ -281,7 +286,7 @@
     MSGPACK_DEFINE(ends, until_ms)
 };
 
-// The document in force, with the log index that put it there.
+// The document in force, with the index of the log entry that set it.
 struct StoredDocument {
     Version version = 0;
     Version index = 0;
@@ -290,8 +295,8 @@
     MSGPACK_DEFINE(version, index, body)
 };
 
-// A group of endpoints that register themselves. It is here from before the first order to any of
-// its members until none of them can be bound by it any more: whoever leads next knows of every
+// A group of endpoints that register themselves. It is recorded before the first order to any of
+// its members and removed once none of them can be bound by it, so that the next leader knows every
 // group that may have been ordered.
 struct PlannedGroup {
     std::string name;
@@ -302,11 +307,12 @@
 
 using PlannedGroups = std::map<Epoch, PlannedGroup>;
 
-// Groups of one service that are about to be ordered, and such as bind nobody any more.
+// Records groups of one service that are about to be ordered, and removes those that bind no
+// endpoint any more.
 struct RecordGroups {
     std::string service;
     PlannedGroups formed;
-    std::vector<Epoch> ended;
+    std::vector<Epoch> ended; // to be removed
     MSGPACK_DEFINE(service, formed, ended)
 };
 
@@ -315,13 +321,13 @@
                  SetHostMode, ChangeSettings, ClaimOnce, CloseClaim, DropClaim, ExpireClaims,
                  ResolveClaim, RetireEntry, ReplaceDocument, QuarantineRequest, RecordGroups>;
 
-// What applying a command answered. Equal on every replica.
+// The result of applying a command. Equal on every replica.
 struct ApplyResult {
     bool ok = true;
-    FailureKind failure = FailureKind::Conflict; // where not ok
+    FailureKind failure = FailureKind::Conflict; // meaningful if not ok
     std::string detail;
-    Version version = 0;              // settings version, or the epoch formed
-    std::optional<ClaimRecord> claim; // state of the claim after a ClaimOnce
+    Version version = 0;              // settings version, or the epoch of the new group
+    std::optional<ClaimRecord> claim; // the claim after a ClaimOnce
     bool operator==(const ApplyResult&) const = default;
 };
 
@@ -334,6 +340,7 @@
     MSGPACK_DEFINE(version, author, wall_ms, changes)
 };
 
+// The stored result of an operator's command, which answers a resend of it.
 struct OrderRecord {
     bool ok = true;
     FailureKind failure = FailureKind::Conflict;
@@ -342,7 +349,7 @@
     MSGPACK_DEFINE(ok, failure, detail, version)
 };
 
-// What an entry host needs to know of a group.
+// The part of a group that entry hosts need for routing.
 struct GroupRoute {
     Epoch epoch = NoEpoch;
     std::string site;
@@ -351,7 +358,7 @@
     HostName lead;
     Incarnation lead_incarnation = 0;
     std::string address;
-    bool admits = true; // takes new work
+    bool admits = true; // accepts new requests
 
     auto operator<=>(const GroupRoute&) const = default;
     MSGPACK_DEFINE(epoch, site, zone, model, lead, lead_incarnation, address, admits)
@@ -371,9 +378,9 @@
     MSGPACK_DEFINE(host, incarnation, site, zone, service, address, admits)
 };
 
-// What changed since the versions that a process has.
+// The changes since the versions that an entry host has.
 struct TableDelta {
-    Version base = 0;    // table version that it continues; 0 replaces everything
+    Version base = 0;    // table version that the delta is relative to; 0 replaces everything
     Version version = 0; // of groups and services
     std::vector<GroupRoute> groups;
     std::vector<Epoch> removed;
@@ -382,14 +389,14 @@
     Version lease_version = 0; // see State::lease_version
     std::vector<PlacedSetting> settings;
     std::vector<EntryRecord> entries; // all of them
-    Version lease_base = 0;           // lease version that `settings` continue
+    Version lease_base = 0;           // lease version that `settings` is relative to
 
     bool operator==(const TableDelta&) const = default;
     MSGPACK_DEFINE(base, version, groups, removed, services, settings_version, lease_version,
                    settings, entries, lease_base)
 };
 
-// A group that is gone, for deltas.
+// A removed group, which deltas report to entry hosts.
 struct RemovedGroup {
     Version at = 0;
     Epoch epoch = NoEpoch;
@@ -397,8 +404,8 @@
     MSGPACK_DEFINE(at, epoch)
 };
 
-// The replicated state: a pure function of the log. No clock and no randomness; every time in it
-// came with a command.
+// The replicated state, a pure function of the log. It uses neither a clock nor randomness: every
+// time in it was part of a command.
 class State {
   public:
     ApplyResult apply(Version index, const Command& command);
@@ -409,14 +416,14 @@
     const SettingsTree& settings() const { return settings_; }
     const std::deque<SettingsRecord>& history() const { return history_; }
     Version settings_version() const { return settings_version_; }
-    // Index of the last command that an entry host must know of before it may admit new work: a
-    // change of settings, or the retirement of an entry host.
+    // Index of the last command that an entry host must have applied before it may admit new
+    // requests: a change of settings or of the document, or the retirement of an entry host.
     Version lease_version() const { return lease_version_; }
     Version table_version() const { return table_version_; }
     const StoredDocument& document() const { return document_; }
-    // Requests that no endpoint gets.
+    // Requests that are sent to no endpoint.
     const std::map<Fingerprint, QuarantineRecord>& quarantined() const { return quarantined_; }
-    // Groups of the service that may bind members.
+    // Groups of the service that may still bind their members.
     const PlannedGroups& planned_groups(const std::string& service) const;
     std::optional<ClaimRecord> claim(const std::string& customer, const std::string& key) const;
     std::vector<std::pair<std::string, ClaimRecord>> claims_of(const std::string& customer,
@@ -424,7 +431,7 @@
     std::size_t claims() const;
 
     TableDelta delta_since(Version table, Version settings) const;
-    // Group and host of every broken invariant; empty when all hold.
+    // A description of every violated invariant; empty if all hold.
     std::vector<std::string> violations() const;
 
     std::string save() const;
@@ -456,14 +463,14 @@
     ApplyResult on(Version index, const QuarantineRequest& c);
     ApplyResult on(Version index, const RecordGroups& c);
 
-    void disown_claims(Incarnation entry);
+    void mark_claims_unknown(Incarnation entry);
     void unbind(Version index, Host& host);
     void start_release(Version index, Group& group, const std::string& reason);
     void drop_group_if_released(Version index, Epoch epoch);
     void touch(Version index, Host& host);
     bool may_be_open(Epoch epoch) const;
     const ApplyResult* known_order(const std::string& order, ApplyResult& out) const;
-    ApplyResult remember(const std::string& order, ApplyResult result);
+    ApplyResult store_order_result(const std::string& order, ApplyResult result);
 
     std::map<HostName, Host> hosts_;
     std::map<Epoch, Group> groups_;
@@ -477,15 +484,15 @@
     std::deque<std::string> order_queue_;
     Version lease_version_ = 0;
     std::deque<RemovedGroup> removed_;
-    Version removed_floor_ = 0;   // removals up to here are forgotten
-    std::set<AttemptId> dropped_; // claims that were given up; a delayed copy must not claim
+    Version removed_floor_ = 0;   // removals up to this version are no longer in removed_
+    std::set<AttemptId> dropped_; // withdrawn claims, which a delayed ClaimOnce must not take
     std::deque<AttemptId> dropped_queue_;
     StoredDocument document_;
     std::map<Fingerprint, QuarantineRecord> quarantined_;
     std::map<std::string, PlannedGroups> planned_groups_; // by service
 };
 
-// True for commands that raise the lease version if they succeed.
+// True for commands that raise the lease version if they are applied successfully.
 bool raises_lease_version(const Command& command);
 
 } // namespace liftweir
--- a/src/version/table.cpp
+++ b/src/version/table.cpp
@@ -1,3 +1,5 @@
+// Applies deltas and assembles the routing table of one site.
+
 #include "version/table.h"
 
 #include <algorithm>
@@ -33,7 +35,8 @@
            std::find(model.adapters.begin(), model.adapters.end(), adapter) != model.adapters.end();
 }
 
-// Versions only go up. A delta from a control host that is behind is refused as a whole.
+// Versions only increase. Each part of a delta, the table and the settings, is ignored if it comes
+// from a control host that lags behind.
 bool TableBuilder::apply(const TableDelta& delta) {
     const bool tables = delta.version > version_ && (delta.base == 0 || delta.base <= version_);
     const bool settings =
@@ -124,8 +127,8 @@
     }
 }
 
-// Each live entry host enforces its share of a customer's limits, so that no request asks
-// another process first.
+// Each live entry host enforces its share of a customer's limits, so that no request has to wait
+// for another process.
 void TableBuilder::add_customers(const SiteSettings& settings, Table& table) {
     const auto hosts = static_cast<double>(table.entry_hosts);
     for (const std::string& name : settings.names_under("customers")) {
--- a/src/version/table.h
+++ b/src/version/table.h
@@ -1,3 +1,5 @@
+// The immutable routing table of an entry host, built from the deltas that control sends.
+
 #ifndef TABLE_H_INCLUDED
 #define TABLE_H_INCLUDED
 
@@ -15,20 +17,20 @@
 
 namespace liftweir {
 
-// What an entry host knows of an endpoint's load. Outlives table versions; shared by all threads
-// without a lock.
+// What an entry host knows about the load of a target. Outlives table versions and is shared by all
+// threads without a lock.
 struct TargetStats {
-    std::atomic<std::uint32_t> in_flight{0}; // this entry host's own
+    std::atomic<std::uint32_t> in_flight{0}; // attempts of this entry host
     std::atomic<std::uint32_t> depth{0};     // running and waiting, as last reported
-    std::atomic<std::int64_t> depth_at{0};   // boot clock, ns
-    std::atomic<bool> open{false};           // as last told by the agent
+    std::atomic<std::int64_t> depth_at{0};   // time of that report; boot clock, ns
+    std::atomic<bool> open{false};           // as last reported by the agent
     std::atomic<bool> can_resume{false};
-    std::atomic<std::int64_t> closed_until{0}; // back-off after a refusal, boot clock, ns
+    std::atomic<std::int64_t> closed_until{0}; // back-off after a refusal ends; boot clock, ns
     std::atomic<double> first_token_s{0};      // smoothed time to the first token
     std::atomic<std::uint32_t> samples{0};
 };
 
-// One group or one host of a plain service, as a place to send attempts to.
+// A destination of attempts: one group, or one host of a plain service.
 struct Target {
     HostName host;
     Incarnation incarnation = 0;
@@ -90,8 +92,8 @@
     Duration hedge_after{};
 };
 
-// Everything that the path of a request reads. Immutable: a new version replaces it as a whole
-// by read-copy-update.
+// Everything that the handling of a request reads. Immutable: a new version replaces the whole
+// table by read-copy-update.
 struct Table {
     Version version = 0;
     Version settings_version = 0;
@@ -109,12 +111,12 @@
     std::string log_level = "info";
 };
 
-// Builds tables from deltas. One thread; never goes back to a lower version.
+// Builds tables from deltas, on one thread. Never returns to a lower version.
 class TableBuilder {
   public:
     explicit TableBuilder(std::string site) : site_(std::move(site)) {}
 
-    // False where the delta does not continue what is known, or is older.
+    // Returns false if the delta is older than the known state or does not follow on from it.
     bool apply(const TableDelta& delta);
     std::shared_ptr<const Table> build();
     Version version() const { return version_; }
