--- a/tests/unit/deployment_test.cpp
+++ b/tests/unit/deployment_test.cpp
@@ -1,3 +1,5 @@
+// Checks of the operators' document, look-up of routes, and splitting of event streams.
+
 #include "connection/eventsplitter.h"
 #include "version/routetable.h"
 
@@ -26,14 +28,14 @@
     return d;
 }
 
-TEST(Deployment, GoodOnePasses) {
+TEST(Deployment, AcceptsAConsistentDocument) {
     EXPECT_TRUE(check(two_routes()));
 }
 
 TEST(Deployment, EachContradictionIsRefused) {
-    const auto refused = [](const std::function<void(Deployment&)>& spoil) {
+    const auto refused = [](const std::function<void(Deployment&)>& corrupt) {
         Deployment d = two_routes();
-        spoil(d);
+        corrupt(d);
         const auto result = check(d);
         return !result && result.error().kind == FailureKind::BadSettings;
     };
@@ -43,7 +45,7 @@
     EXPECT_TRUE(refused([](Deployment& d) { d.routes[0].timeout = {}; }));
     EXPECT_TRUE(refused([](Deployment& d) { d.routes[1].prefix = "/x/"; }));
     EXPECT_TRUE(refused([](Deployment& d) { d.customers[1].keys = {"k2"}; }));
-    // One place, written in two ways.
+    // The same host and prefix, spelled in two ways.
     EXPECT_TRUE(refused([](Deployment& d) {
         d.routes[1].host = "ONE.example";
         d.routes[1].prefix = "/x/";
@@ -51,7 +53,7 @@
     EXPECT_TRUE(refused([](Deployment& d) { d.routes[1].prefix = "/x"; }));
 }
 
-TEST(RouteTable, LongestPrefixWinsWithoutRegardToTheHostsCase) {
+TEST(RouteTable, LongestPrefixWinsAndTheHostIgnoresCase) {
     const RouteTable table(two_routes());
     EXPECT_EQ(table.find("one.EXAMPLE:8080", "/x/y/z")->name, "b");
     EXPECT_EQ(table.find("one.example", "/x/yy")->name, "a");
@@ -62,8 +64,8 @@
     EXPECT_EQ(table.find("", ""), nullptr);
 }
 
-// Found by reading: such a route was accepted, and no request ever matched it.
-TEST(RouteTable, APrefixWithoutAClosingSlashMatchesWholeParts) {
+// Guards against a route whose prefix lacks the closing slash being accepted but never matched.
+TEST(RouteTable, APrefixWithoutAClosingSlashMatchesWholeSegments) {
     Deployment deployment = two_routes();
     deployment.routes[1].prefix = "/x/y";
     const RouteTable table(deployment);
@@ -71,13 +73,13 @@
     EXPECT_EQ(table.find("one.example", "/x/yy")->name, "a");
 }
 
-TEST(RouteTable, KeysNameTheirCustomer) {
+TEST(RouteTable, FindsTheCustomerOfAKey) {
     const RouteTable table(two_routes());
     EXPECT_EQ(table.customer("k2")->name, "big");
     EXPECT_EQ(table.customer("k4"), nullptr);
 }
 
-RC_GTEST_PROP(RouteTable, FindsWhatAPlainSearchFinds, ()) {
+RC_GTEST_PROP(RouteTable, FindsTheSameRouteAsALinearSearch, ()) {
     const auto part = rc::gen::element<std::string>("a", "b", "ab");
     const auto path = [&] {
         std::string p = "/";
@@ -92,20 +94,20 @@
         d.routes.push_back(pattern);
         d.routes.back().prefix = path();
     }
-    const std::string asked = path() + "tail";
+    const std::string request_path = path() + "tail";
     const Route* expected = nullptr;
     for (const Route& route : d.routes)
-        if (asked.starts_with(route.prefix) &&
+        if (request_path.starts_with(route.prefix) &&
             (expected == nullptr || route.prefix.size() > expected->prefix.size()))
             expected = &route;
     const RouteTable table(d);
-    const Route* found = table.find("one.example", asked);
+    const Route* found = table.find("one.example", request_path);
     RC_ASSERT((found == nullptr) == (expected == nullptr));
     if (found != nullptr)
         RC_ASSERT(found->prefix == expected->prefix);
 }
 
-TEST(EventSplitter, KeepsBackWhatIsNotWhole) {
+TEST(EventSplitter, HoldsBackIncompleteEvents) {
     EventSplitter splitter;
     splitter.feed("id: 1\ndata: a\n");
     EXPECT_EQ(splitter.next(), "");
--- a/tests/unit/http_test.cpp
+++ b/tests/unit/http_test.cpp
@@ -1,3 +1,5 @@
+// The libcurl client, the server's view of callers that disconnect, and authentication of links.
+
 #include "connection/httpclient.h"
 #include "connection/httpserver.h"
 #include "connection/link.h"
@@ -14,8 +16,9 @@
     return "127.0.0.1:" + std::to_string(probe.local_endpoint().port());
 }
 
-// A descriptor that libcurl has given up must be let go at once.
-TEST(HttpClient, EveryCallEndsWhenConnectionsComeAndGo) {
+// Guards against calls that never end: a descriptor that libcurl closes must be released at once,
+// since a new connection may get the same number.
+TEST(HttpClient, EveryCallEndsWhileConnectionsOpenAndClose) {
     asio::io_context io;
     const std::string address = free_address();
     const auto server = serve_http(io, address, {}, [&io](const std::shared_ptr<HttpExchange>& e) {
@@ -57,7 +60,7 @@
     EXPECT_GE(ended + cancelled, Calls) << "some call never ended";
 }
 
-TEST(HttpClient, WhatLeftOnAKeptConnectionWasSentEvenIfTheRepeatIsRefused) {
+TEST(HttpClient, ARequestSentOnAReusedConnectionCountsAsSentEvenIfTheRepeatIsRefused) {
     asio::io_context io;
     asio::ip::tcp::acceptor listener(io, {asio::ip::make_address("127.0.0.1"), 0});
     const std::string url =
@@ -98,12 +101,12 @@
     };
     ask();
     ask();
-    ask(); // nobody listens any more
+    ask(); // the listener is closed by now
     EXPECT_EQ(answered, (std::vector<bool>{true, false, false}));
     EXPECT_EQ(sent, (std::vector<bool>{true, true, false}));
 }
 
-TEST(HttpClient, AConnectionIsAskedForWithoutARequest) {
+TEST(HttpClient, ConnectOnlySendsNoRequest) {
     asio::io_context io;
     asio::ip::tcp::acceptor listener(io, {asio::ip::make_address("127.0.0.1"), 0});
     const std::string url =
@@ -134,8 +137,8 @@
     EXPECT_EQ(refused.error().kind, FailureKind::NoEndpoint);
 }
 
-// A caller that goes away is noticed while its request is in work.
-TEST(HttpServer, NoticesThatTheCallerIsGone) {
+// The server must notice that a caller disconnects while its request is being processed.
+TEST(HttpServer, NoticesThatTheCallerDisconnects) {
     asio::io_context io;
     const std::string address = free_address();
     bool gone = false;
@@ -157,8 +160,9 @@
     EXPECT_TRUE(run_until([&] { return gone; }));
 }
 
-// Two links with one key meet; another key, an old protocol or garbage gets nothing through.
-TEST(Link, OnlyAPeerWithALiveKeyIsHeard) {
+// Messages are accepted from a peer that shares a key, and neither from a peer with another key nor
+// from a connection that sends garbage.
+TEST(Link, AcceptsMessagesOnlyFromAPeerWithAValidKey) {
     asio::io_context io;
     const std::string address = free_address();
     const Identity server{ProcessRole::Control, "server", 1};
@@ -167,10 +171,10 @@
     const ClusterKeys rotated({"key-number-two-2", "key-number-one-1"});
     const ClusterKeys wrong({"key-of-a-stranger"});
     LinkListener listener(io, address, server, keys);
-    std::vector<std::string> heard;
+    std::vector<std::string> senders;
     listener.start(
         [](const Link::Ptr&) {},
-        [&](const Link::Ptr& link, WireMessage&&) { heard.push_back(link->peer().name); },
+        [&](const Link::Ptr& link, WireMessage&&) { senders.push_back(link->peer().name); },
         [](const Link::Ptr&) {});
     Dialer good(io, address, dialer, rotated);
     const Identity stranger_identity{ProcessRole::Agent, "stranger", 3};
@@ -184,7 +188,7 @@
     garbage.connect(parse_address(address).value());
     asio::write(garbage, asio::buffer(std::string(4096, '\x7f')));
     io.run_for(std::chrono::milliseconds(500));
-    EXPECT_EQ(heard, std::vector<std::string>{"dialer"});
+    EXPECT_EQ(senders, std::vector<std::string>{"dialer"});
     EXPECT_FALSE(stranger_up);
 }
 
--- a/tests/unit/httpchannel_test.cpp
+++ b/tests/unit/httpchannel_test.cpp
@@ -1,4 +1,4 @@
-// Faulty endpoints: what was whole, what was not, and which connections are used again.
+// Faulty endpoints: which responses count as complete, and which connections are reused.
 
 #include "connection/httpchannel.h"
 #include "connection/link.h"
@@ -10,14 +10,14 @@
 namespace liftweir {
 namespace {
 
-// Answers each request of a connection with scripted bytes.
+// Answers each request on a connection with scripted bytes.
 class ChannelTest : public testing::Test {
   protected:
     struct Script {
         std::string bytes;
         bool close = false;
         bool reset = false;
-        bool before_request = false; // the answer leaves before the request is read
+        bool before_request = false; // the response is sent before the request is read
     };
 
     void SetUp() override {
@@ -87,29 +87,29 @@
 
 const std::string Good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-TEST_F(ChannelTest, KeepsAConnectionForTheNextCall) {
+TEST_F(ChannelTest, ReusesAConnectionForTheNextCall) {
     scripts_ = {{Good}, {Good}};
     EXPECT_EQ(call().end, CallEnd::Complete);
     EXPECT_EQ(call().body, "ok");
     EXPECT_EQ(accepted_, 1);
 }
 
-// An endpoint takes a bounded number of connections from all entry hosts, resting ones too.
-TEST_F(ChannelTest, KeepsNoMoreConnectionsThanItMay) {
+// An endpoint accepts a bounded number of connections from all entry hosts, idle ones included.
+TEST_F(ChannelTest, KeepsNoMoreIdleConnectionsThanAllowed) {
     scripts_ = {{Good}, {Good}};
     EXPECT_EQ(call({.max_idle_connections = 0}).end, CallEnd::Complete);
     EXPECT_EQ(call({.max_idle_connections = 0}).end, CallEnd::Complete);
     EXPECT_EQ(accepted_, 2);
 }
 
-TEST_F(ChannelTest, TakesAConnectionOfItsOwnWhereItMustNotMeetAClose) {
+TEST_F(ChannelTest, OpensANewConnectionOnRequest) {
     scripts_ = {{Good}, {Good}};
     EXPECT_EQ(call().end, CallEnd::Complete);
     EXPECT_EQ(call({.fresh = true}).end, CallEnd::Complete);
     EXPECT_EQ(accepted_, 2);
 }
 
-TEST_F(ChannelTest, DropsAConnectionThatBringsMoreThanItsAnswer) {
+TEST_F(ChannelTest, ClosesAConnectionWithBytesAfterTheResponse) {
     scripts_ = {{Good + Good}, {Good}};
     const Result first = call();
     EXPECT_EQ(first.end, CallEnd::Complete);
@@ -118,7 +118,7 @@
     EXPECT_EQ(accepted_, 2);
 }
 
-TEST_F(ChannelTest, DropsAConnectionThatSpeaksUnasked) {
+TEST_F(ChannelTest, ClosesAConnectionWithUnsolicitedBytes) {
     scripts_ = {{Good}, {Good}};
     EXPECT_EQ(call().end, CallEnd::Complete);
     io_.run_for(std::chrono::milliseconds(10));
@@ -126,38 +126,38 @@
     EXPECT_EQ(call().body, "ok");
 }
 
-TEST_F(ChannelTest, AnAnswerWithoutLengthEndsWithAProperClose) {
+TEST_F(ChannelTest, AResponseWithoutLengthEndsWithAnOrderlyClose) {
     scripts_ = {{"HTTP/1.1 200 OK\r\n\r\nall", true}};
     const Result result = call();
     EXPECT_EQ(result.end, CallEnd::Complete);
     EXPECT_EQ(result.body, "all");
 }
 
-TEST_F(ChannelTest, AnAnswerWithoutLengthThatIsResetIsNotWhole) {
+TEST_F(ChannelTest, AResponseWithoutLengthThatIsResetIsBroken) {
     scripts_ = {{"HTTP/1.1 200 OK\r\n\r\npart", false, true}};
     EXPECT_EQ(call().end, CallEnd::Broken);
 }
 
-TEST_F(ChannelTest, AnAnswerThatStopsShortIsBroken) {
+TEST_F(ChannelTest, ATruncatedResponseIsBroken) {
     scripts_ = {{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart", true}};
     EXPECT_EQ(call().end, CallEnd::Broken);
     scripts_ = {{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", true}};
     EXPECT_EQ(call().end, CallEnd::Broken);
 }
 
-TEST_F(ChannelTest, BytesThatAreNoAnswerAreNotPassedAsOne) {
+TEST_F(ChannelTest, BytesThatAreNoResponseAreMalformed) {
     scripts_ = {{"what is this\r\n\r\n"}};
     const Result result = call();
     EXPECT_EQ(result.end, CallEnd::Malformed);
     EXPECT_EQ(result.status, 0);
 }
 
-TEST_F(ChannelTest, SaysThatNothingWasSentWhereNobodyListens) {
+TEST_F(ChannelTest, ReportsAFailedConnectIfTheEndpointDoesNotListen) {
     acceptor_->close();
     EXPECT_EQ(call().end, CallEnd::ConnectFailed);
 }
 
-TEST_F(ChannelTest, ADroppedHandleClosesTheConnection) {
+TEST_F(ChannelTest, ADestroyedHandleClosesTheConnection) {
     scripts_ = {};
     {
         const auto handle =
@@ -191,7 +191,7 @@
     EXPECT_EQ(got, arrived);
 }
 
-TEST_F(ChannelTest, ACallThatIsCancelledAsItIsConnectedSendsNothing) {
+TEST_F(ChannelTest, ACallThatIsCancelledOnConnectSendsNothing) {
     std::unique_ptr<HttpCallHandle> handle;
     CallEvents events;
     events.on_connected = [&] { handle->cancel(); };
--- a/tests/unit/httpserver_test.cpp
+++ b/tests/unit/httpserver_test.cpp
@@ -1,4 +1,4 @@
-// Bad and hostile callers: each gets a typed answer within a bound of time and memory.
+// Faulty and hostile callers: each gets a defined response within bounds of time and memory.
 
 #include "connection/httpserver.h"
 #include "connection/link.h"
@@ -27,8 +27,8 @@
             use);
     }
 
-    // Sends bytes, and returns all that comes back until the connection ends or time is out.
-    std::string talk(const std::string& bytes, std::chrono::milliseconds patience) {
+    // Sends bytes and returns all that is received until the connection closes or the time is over.
+    std::string send_and_receive(const std::string& bytes, std::chrono::milliseconds timeout) {
         asio::ip::tcp::socket socket(io_);
         socket.connect(parse_address(address_).value());
         asio::error_code ignored;
@@ -47,7 +47,7 @@
                                    });
         };
         read();
-        const auto until = std::chrono::steady_clock::now() + patience;
+        const auto until = std::chrono::steady_clock::now() + timeout;
         while (!ended && std::chrono::steady_clock::now() < until)
             io_.run_for(std::chrono::milliseconds(5));
         closed_ = ended;
@@ -67,16 +67,16 @@
     std::string last_target_;
 };
 
-// A caller's side of one connection, read by hand.
+// A caller's side of one connection, which sends and reads on command.
 class Caller {
   public:
     Caller(asio::io_context& io, const std::string& address) : io_(io), socket_(io) {
         socket_.connect(parse_address(address).value());
     }
     void send(const std::string& bytes) { asio::write(socket_, asio::buffer(bytes)); }
-    void leave() { socket_.close(); }
-    void end_sending() { socket_.shutdown(asio::ip::tcp::socket::shutdown_send); }
-    // All that comes until the connection ends or is silent for 200 ms.
+    void disconnect() { socket_.close(); }
+    void shutdown_sending() { socket_.shutdown(asio::ip::tcp::socket::shutdown_send); }
+    // All bytes that arrive until the connection closes or is idle for 200 ms.
     std::string read() {
         std::string got;
         std::string buffer(1u << 20, '\0');
@@ -106,67 +106,70 @@
     asio::ip::tcp::socket socket_;
 };
 
-constexpr auto Patience = std::chrono::milliseconds(2500);
+constexpr auto ResponseTimeout = std::chrono::milliseconds(2500);
 
-TEST_F(ServerTest, AnAddressThatIsServedAlreadyIsRefused) {
+TEST_F(ServerTest, RefusesAnAddressThatIsInUse) {
     serve();
     EXPECT_THROW(serve_http(io_, address_, {}, handler_), std::system_error);
 }
 
-TEST_F(ServerTest, ServersOfOneProcessShareAnAddressWhereBothAgree) {
+TEST_F(ServerTest, ServersOfOneProcessShareAnAddressIfBothAllowIt) {
     serve({}, AddressUse::Shared);
     EXPECT_NO_THROW(serve_http(io_, address_, {}, handler_, AddressUse::Shared));
     EXPECT_THROW(serve_http(io_, address_, {}, handler_), std::system_error);
 }
 
-TEST_F(ServerTest, AnswersRequestsThatCanBeFramedInTwoWays) {
+TEST_F(ServerTest, RefusesRequestsThatCanBeFramedInTwoWays) {
     serve();
     const std::string two_lengths =
         "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab";
-    EXPECT_TRUE(talk(two_lengths, Patience).starts_with("HTTP/1.1 400 "));
+    EXPECT_TRUE(send_and_receive(two_lengths, ResponseTimeout).starts_with("HTTP/1.1 400 "));
     const std::string both = "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n"
                              "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
-    EXPECT_TRUE(talk(both, Patience).starts_with("HTTP/1.1 400 "));
+    EXPECT_TRUE(send_and_receive(both, ResponseTimeout).starts_with("HTTP/1.1 400 "));
     EXPECT_TRUE(closed_);
     EXPECT_EQ(handled_, 0);
 }
 
 TEST_F(ServerTest, RefusesRequestsWithoutHostOrWithGarbage) {
     serve();
-    EXPECT_TRUE(talk("GET / HTTP/1.1\r\n\r\n", Patience).starts_with("HTTP/1.1 400 "));
-    EXPECT_TRUE(talk("\x01\x02garbage\r\n\r\n", Patience).starts_with("HTTP/1.1 400 "));
+    EXPECT_TRUE(
+        send_and_receive("GET / HTTP/1.1\r\n\r\n", ResponseTimeout).starts_with("HTTP/1.1 400 "));
+    EXPECT_TRUE(
+        send_and_receive("\x01\x02garbage\r\n\r\n", ResponseTimeout).starts_with("HTTP/1.1 400 "));
     const std::string zero = std::string("GET /a\0b HTTP/1.1\r\nHost: x\r\n\r\n", 31);
-    EXPECT_TRUE(talk(zero, Patience).starts_with("HTTP/1.1 400 "));
+    EXPECT_TRUE(send_and_receive(zero, ResponseTimeout).starts_with("HTTP/1.1 400 "));
     EXPECT_EQ(handled_, 0);
 }
 
-TEST_F(ServerTest, BoundsHeadsAndBodies) {
+TEST_F(ServerTest, BoundsTheSizeOfHeadsAndBodies) {
     serve({.body_bytes = 100, .header_bytes = 1000});
     const std::string large_head =
         "GET / HTTP/1.1\r\nHost: x\r\nX: " + std::string(70000, 'a') + "\r\n\r\n";
-    EXPECT_TRUE(talk(large_head, Patience).starts_with("HTTP/1.1 431 "));
+    EXPECT_TRUE(send_and_receive(large_head, ResponseTimeout).starts_with("HTTP/1.1 431 "));
     const std::string large_body = "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 101\r\n\r\n";
-    EXPECT_TRUE(talk(large_body, Patience).starts_with("HTTP/1.1 413 "));
+    EXPECT_TRUE(send_and_receive(large_body, ResponseTimeout).starts_with("HTTP/1.1 413 "));
     const std::string large_chunk =
         "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
         "c8\r\n" +
         std::string(200, 'b') + "\r\n0\r\n\r\n";
-    EXPECT_TRUE(talk(large_chunk, Patience).starts_with("HTTP/1.1 413 "));
+    EXPECT_TRUE(send_and_receive(large_chunk, ResponseTimeout).starts_with("HTTP/1.1 413 "));
     EXPECT_EQ(handled_, 0);
 }
 
 TEST_F(ServerTest, BoundsTheTimeOfHeadsAndBodies) {
     serve({.header_timeout = std::chrono::milliseconds(300)});
-    EXPECT_TRUE(talk("GET / HT", Patience).starts_with("HTTP/1.1 408 "));
-    EXPECT_TRUE(talk("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\na", Patience)
+    EXPECT_TRUE(send_and_receive("GET / HT", ResponseTimeout).starts_with("HTTP/1.1 408 "));
+    EXPECT_TRUE(send_and_receive("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\na",
+                                 ResponseTimeout)
                     .starts_with("HTTP/1.1 408 "));
     EXPECT_TRUE(closed_);
     EXPECT_EQ(handled_, 0);
 }
 
-TEST_F(ServerTest, ClosesConnectionsThatRest) {
+TEST_F(ServerTest, ClosesIdleConnections) {
     serve({.idle_timeout = std::chrono::milliseconds(200)});
-    EXPECT_EQ(talk("", Patience), "");
+    EXPECT_EQ(send_and_receive("", ResponseTimeout), "");
     EXPECT_TRUE(closed_);
 }
 
@@ -177,7 +180,7 @@
     handler_ = [](const std::shared_ptr<HttpExchange>& e) {
         e->respond(200, {}, std::string(e->target()));
     };
-    const std::string got = talk(one + two, Patience);
+    const std::string got = send_and_receive(one + two, ResponseTimeout);
     EXPECT_LT(got.find("/1"), got.find("/2"));
     EXPECT_EQ(handled_, 2);
     EXPECT_TRUE(closed_);
@@ -189,38 +192,38 @@
         e->begin(200, {});
         e->write("part", [e](bool) { e->abort(); });
     };
-    const std::string got = talk("GET / HTTP/1.1\r\nHost: x\r\n\r\n", Patience);
+    const std::string got = send_and_receive("GET / HTTP/1.1\r\nHost: x\r\n\r\n", ResponseTimeout);
     EXPECT_NE(got.find("part"), std::string::npos);
     EXPECT_EQ(got.find("0\r\n\r\n"), std::string::npos);
     EXPECT_TRUE(closed_);
 }
 
-TEST_F(ServerTest, ARequestThatIsDroppedEndsItsConnection) {
+TEST_F(ServerTest, ADroppedRequestClosesItsConnection) {
     serve();
     handler_ = [](const std::shared_ptr<HttpExchange>&) {};
-    EXPECT_EQ(talk("GET / HTTP/1.1\r\nHost: x\r\n\r\n", Patience), "");
+    EXPECT_EQ(send_and_receive("GET / HTTP/1.1\r\nHost: x\r\n\r\n", ResponseTimeout), "");
     EXPECT_TRUE(closed_);
 }
 
-TEST_F(ServerTest, ClosesAfterAnswersOnceItLeaves) {
+TEST_F(ServerTest, ClosesConnectionsAfterTheirResponsesDuringShutdown) {
     serve();
     server_->close_after_answers();
-    const std::string got = talk("GET / HTTP/1.1\r\nHost: x\r\n\r\n", Patience);
+    const std::string got = send_and_receive("GET / HTTP/1.1\r\nHost: x\r\n\r\n", ResponseTimeout);
     EXPECT_NE(got.find("Connection: close"), std::string::npos);
     EXPECT_TRUE(closed_);
 }
 
-// Whatever comes in, the process goes on and serves the next caller.
+// Whatever bytes arrive, the process keeps running and serves the next caller.
 RC_GTEST_FIXTURE_PROP(ServerTest, SurvivesAnyBytes, (const std::string& bytes)) {
     serve({.header_timeout = std::chrono::milliseconds(50)});
-    (void)talk("POST /" + bytes, std::chrono::milliseconds(30));
+    (void)send_and_receive("POST /" + bytes, std::chrono::milliseconds(30));
     const std::string good = "GET /after HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-    RC_ASSERT(talk(good, Patience).starts_with("HTTP/1.1 200 "));
+    RC_ASSERT(send_and_receive(good, ResponseTimeout).starts_with("HTTP/1.1 200 "));
 }
 
 const std::string PlainRequest = "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\na";
 
-TEST_F(ServerTest, OnlyConnectionsThatRestAreClosedAsResting) {
+TEST_F(ServerTest, ClosesOnlyConnectionsThatAreIdle) {
     serve();
     handler_ = [](const std::shared_ptr<HttpExchange>& e) {
         e->respond(200, {}, std::string(8u << 20, 'x'));
@@ -236,7 +239,7 @@
     EXPECT_GT(fresh.read().size(), 8u << 20);
 }
 
-TEST_F(ServerTest, AKeptConnectionRestsAfterItsAnswer) {
+TEST_F(ServerTest, AConnectionIsIdleAfterItsResponse) {
     serve();
     Caller kept(io_, address_);
     kept.send(PlainRequest);
@@ -260,11 +263,11 @@
     EXPECT_TRUE(half.read().starts_with("HTTP/1.1 200 "));
 }
 
-// Time within which the loss of a caller has to be known.
-constexpr auto GoneWithin = std::chrono::milliseconds(500);
+// Time within which the server has to notice that a caller has disconnected.
+constexpr auto DisconnectNoticeTime = std::chrono::milliseconds(500);
 
-// Keeps requests unanswered, and notes which callers are known to have left.
-class LeavingTest : public ServerTest {
+// Leaves requests unanswered and counts the callers whose disconnect was noticed.
+class DisconnectTest : public ServerTest {
   protected:
     void SetUp() override {
         serve();
@@ -282,7 +285,7 @@
     int gone_ = 0;
 };
 
-TEST_F(LeavingTest, ACloseBehindManyUnreadBytesIsSeen) {
+TEST_F(DisconnectTest, NoticesACloseBehindManyUnreadBytes) {
     Caller caller(io_, address_);
     caller.send(PlainRequest + "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 900000\r\n\r\n");
     for (int n = 0; n < 5; ++n) {
@@ -291,39 +294,40 @@
     }
     EXPECT_EQ(handled_, 1);
     EXPECT_EQ(gone_, 0);
-    caller.leave();
-    run(GoneWithin);
+    caller.disconnect();
+    run(DisconnectNoticeTime);
     EXPECT_EQ(gone_, 1);
 }
 
-TEST_F(LeavingTest, ACallerThatEndsItsSendingSideHasLeft) {
+TEST_F(DisconnectTest, ACallerThatClosesItsSendingSideCountsAsDisconnected) {
     Caller caller(io_, address_);
     caller.send(PlainRequest);
     run(std::chrono::milliseconds(20));
     EXPECT_EQ(gone_, 0);
-    caller.end_sending();
-    run(GoneWithin);
+    caller.shutdown_sending();
+    run(DisconnectNoticeTime);
     EXPECT_EQ(gone_, 1);
 }
 
-// What is answered within the call that delivers the request cost nothing, and may still be read.
-TEST_F(ServerTest, ACallerThatEndsItsSendingSideGetsAnAnswerThatIsThere) {
+// A response that is given within the call that delivers the request needs no further work, and the
+// caller may still read it.
+TEST_F(ServerTest, ACallerThatClosesItsSendingSideGetsAResponseThatIsReady) {
     serve();
     Caller caller(io_, address_);
     caller.send(PlainRequest);
-    caller.end_sending();
+    caller.shutdown_sending();
     EXPECT_TRUE(caller.read().starts_with("HTTP/1.1 200 "));
 }
 
-TEST_F(LeavingTest, ACloseRightBehindARequestIsKnownWithTheRequest) {
+TEST_F(DisconnectTest, ACloseRightAfterARequestIsKnownWithTheRequest) {
     int left = 0;
     handler_ = [&](const std::shared_ptr<HttpExchange>& e) { left += e->left() ? 1 : 0; };
     Caller closes(io_, address_);
     closes.send(PlainRequest);
-    closes.leave();
-    Caller ends_sending(io_, address_);
-    ends_sending.send(PlainRequest);
-    ends_sending.end_sending();
+    closes.disconnect();
+    Caller half_closes(io_, address_);
+    half_closes.send(PlainRequest);
+    half_closes.shutdown_sending();
     Caller stays(io_, address_);
     stays.send(PlainRequest + PlainRequest);
     run(std::chrono::milliseconds(50));
@@ -331,7 +335,7 @@
     EXPECT_EQ(left, 2);
 }
 
-TEST_F(ServerTest, ACallerThatEndsItsSendingSideGetsAnAnswerToItsEnd) {
+TEST_F(ServerTest, ACallerThatClosesItsSendingSideGetsTheCompleteResponse) {
     serve();
     handler_ = [](const std::shared_ptr<HttpExchange>& e) {
         e->respond(200, {}, std::string(32u << 20, 'x'));
@@ -339,12 +343,12 @@
     Caller caller(io_, address_);
     caller.send(PlainRequest);
     io_.run_for(std::chrono::milliseconds(50));
-    caller.end_sending();
+    caller.shutdown_sending();
     EXPECT_GT(caller.read().size(), 32u << 20);
     EXPECT_EQ(server_->connections(), 0u);
 }
 
-TEST_F(ServerTest, WhatConnectionsShareLivesUntilTheirLastWorkInTheLoop) {
+TEST_F(ServerTest, SharedStateLivesUntilTheLastPendingHandlerOfTheEventLoop) {
     auto shared = std::make_shared<int>(0);
     const std::weak_ptr<int> watched = shared;
     handler_ = {};
--- a/tests/unit/link_test.cpp
+++ b/tests/unit/link_test.cpp
@@ -1,3 +1,5 @@
+// Reconnection of a link to a host that was powered off.
+
 #include "connection/link.h"
 
 #include <asio.hpp>
@@ -11,11 +13,11 @@
 
 using std::chrono::milliseconds;
 
-// A host that drops the first packet of each connection until it is let up, as one without power
-// does: its queue of new connections is full.
-class DarkHost {
+// A host that drops the first packet of each connection until power_up(), as a host without power
+// does. Its backlog of new connections is kept full for this.
+class PoweredOffHost {
   public:
-    explicit DarkHost(asio::io_context& io) : io_(io), acceptor_(io) {
+    explicit PoweredOffHost(asio::io_context& io) : io_(io), acceptor_(io) {
         const asio::ip::tcp::endpoint any(asio::ip::make_address("127.0.0.1"), 0);
         acceptor_.open(any.protocol());
         acceptor_.bind(any);
@@ -26,7 +28,7 @@
 
     const std::string& address() const { return address_; }
 
-    // Takes what waits, then serves links.
+    // Accepts the waiting connections, then accepts links.
     void power_up(const Identity& self, const ClusterKeys& keys) {
         fillers_.clear();
         acceptor_.non_blocking(true);
@@ -42,7 +44,7 @@
     }
 
   private:
-    // Connections beyond the queue stay unanswered.
+    // Fills the backlog: connection attempts beyond it get no response.
     void fill() {
         for (int i = 0; i < 4; ++i) {
             fillers_.push_back(std::make_unique<asio::ip::tcp::socket>(io_));
@@ -59,12 +61,12 @@
     std::unique_ptr<LinkListener> listener_;
 };
 
-struct LinkToDarkHost : testing::Test {
+struct LinkToPoweredOffHost : testing::Test {
     asio::io_context io;
     const Identity self{ProcessRole::Control, "near", 1};
     const Identity peer{ProcessRole::Control, "far", 2};
     const ClusterKeys keys = ClusterKeys::none();
-    DarkHost host{io};
+    PoweredOffHost host{io};
     Dialer dialer{io, host.address(), self, keys};
 
     bool up_within(Duration limit) {
@@ -74,7 +76,7 @@
         return dialer.up();
     }
 
-    void dial_in_the_dark(Duration since) {
+    void dial_while_powered_off(Duration since) {
         dialer.start([](const Link::Ptr&) {}, [](const Link::Ptr&, WireMessage&&) {},
                      [](const Link::Ptr&) {});
         EXPECT_FALSE(up_within(since));
@@ -82,21 +84,21 @@
     }
 };
 
-// The kernel would send the first packet again after a second.
-TEST_F(LinkToDarkHost, IsDialedAnewBeforeTheKernelTriesAgain) {
-    dial_in_the_dark(milliseconds(50));
+// The kernel would retransmit the first packet only after a second.
+TEST_F(LinkToPoweredOffHost, ReconnectsBeforeTheKernelRetransmits) {
+    dial_while_powered_off(milliseconds(50));
     EXPECT_TRUE(up_within(milliseconds(700)));
 }
 
-TEST_F(LinkToDarkHost, IsDialedAtOnceWhenThePeerWasHeard) {
-    dial_in_the_dark(milliseconds(150));
+TEST_F(LinkToPoweredOffHost, ReconnectsAtOnceWhenThePeerIsKnownToBeUp) {
+    dial_while_powered_off(milliseconds(150));
     dialer.retry_now();
     EXPECT_TRUE(up_within(milliseconds(100)));
 }
 
-// A greeting may come while the answer to the connect is on its way.
-TEST_F(LinkToDarkHost, AYoungAttemptIsLeftToItself) {
-    dial_in_the_dark(milliseconds(20));
+// A message of the peer may arrive while the response to the connect is in transit.
+TEST_F(LinkToPoweredOffHost, ARecentAttemptIsNotAborted) {
+    dial_while_powered_off(milliseconds(20));
     dialer.retry_now();
     EXPECT_FALSE(up_within(milliseconds(50)));
     EXPECT_TRUE(up_within(milliseconds(700)));
--- a/tests/unit/state_test.cpp
+++ b/tests/unit/state_test.cpp
@@ -1,3 +1,5 @@
+// The replicated state, routing tables built from deltas, decoding of damaged bytes, and settings.
+
 #include "connection/codec.h"
 #include "connection/wire.h"
 #include "version/state.h"
@@ -17,7 +19,7 @@
     return {"c", key, digest, {1, sequence, 0}, 0, 10};
 }
 
-TEST(State, ASettingsRaceHasOneWinnerAndShowsIt) {
+TEST(State, OnlyOneOfTwoConcurrentSettingsChangesIsAppliedAndTheOtherNamesIt) {
     State state;
     const SettingChange a{"o", "models/m/replicas", "1"};
     const SettingChange b{"o", "models/m/replicas", "2"};
@@ -32,7 +34,7 @@
     EXPECT_EQ(state.settings_version(), 1u);
 }
 
-TEST(State, ABadChangeIsRefusedWhole) {
+TEST(State, AnInvalidChangeIsRefusedAsAWhole) {
     State state;
     const ApplyResult r = state.apply(
         1,
@@ -51,7 +53,7 @@
     EXPECT_EQ(state.apply(4, claim("k", 2, "other")).failure, FailureKind::Mismatch);
     EXPECT_TRUE(state.apply(5, CloseClaim{"c", "k", {1, 1, 0}, ClaimPhase::Unknown, {}, false}).ok);
     EXPECT_EQ(state.apply(6, claim("k", 2)).failure, FailureKind::OutcomeUnknown);
-    // A late answer mends Unknown.
+    // A late result replaces Unknown.
     const Answer saved{200, "t", "body"};
     EXPECT_TRUE(
         state.apply(7, CloseClaim{"c", "k", {1, 1, 0}, ClaimPhase::Completed, saved, true}).ok);
@@ -67,7 +69,7 @@
     EXPECT_TRUE(state.apply(3, claim("k", 2)).ok);
 }
 
-TEST(State, ClaimsOfAGoneEntryBecomeUnknown) {
+TEST(State, ClaimsOfARestartedEntryHostBecomeUnknown) {
     State state;
     EXPECT_TRUE(state.apply(1, RegisterEntry{{"e", 1, "a", "s"}}).ok);
     EXPECT_TRUE(state.apply(2, claim("k", 1)).ok);
@@ -75,7 +77,7 @@
     EXPECT_EQ(state.claim("c", "k")->phase, ClaimPhase::Unknown);
 }
 
-TEST(State, ARestartedHostBreaksItsGroupAndIsFree) {
+TEST(State, ARestartedHostReleasesItsGroupAndIsFree) {
     State state;
     Version index = 0;
     for (const char* name : {"a", "b"})
@@ -159,7 +161,7 @@
         rc::gen::inRange(0, 40));
 }
 
-// Whatever is proposed, no host is in two groups and no group crosses fabric domains.
+// Invariant under any commands: no host is in two groups and no group spans two fabric domains.
 TEST(State, NoCommandPutsAHostIntoTwoGroups) {
     EXPECT_TRUE(rc::check([] {
         State state;
@@ -178,7 +180,7 @@
     }));
 }
 
-// Deltas of any steps lead to the table that a full copy gives, and never back.
+// A table that was built from any sequence of deltas equals the one that is built from a full copy.
 TEST(Table, DeltasLeadToTheSameTableAsAFullCopy) {
     EXPECT_TRUE(rc::check([] {
         State state;
@@ -193,7 +195,7 @@
         }
         const TableDelta last = state.delta_since(stepwise.version(), stepwise.lease_version());
         stepwise.apply(last);
-        stepwise.apply(last); // doubled on the way
+        stepwise.apply(last); // delivered twice
         TableBuilder whole("o/r/s");
         whole.apply(state.delta_since(0, 0));
         RC_ASSERT(stepwise.addresses() == whole.addresses());
@@ -204,8 +206,8 @@
     }));
 }
 
-// A delta that continues a lease version which this process does not have must not count.
-TEST(Table, ADeltaWithAGapInSettingsIsNotTaken) {
+// A delta relative to a lease version that this process does not have must not be applied.
+TEST(Table, ADeltaWithAGapInSettingsIsNotApplied) {
     State state;
     state.apply(1, ChangeSettings{"", 0, "t", {{"o", "models/m/replicas", "1"}}, 0});
     state.apply(2, ChangeSettings{"", 1, "t", {{"o", "models/n/replicas", "1"}}, 0});
@@ -214,7 +216,7 @@
     EXPECT_EQ(builder.lease_version(), 0u);
 }
 
-// Every decoder takes any bytes: it answers with a message or a typed failure.
+// Every decoder accepts any bytes and returns either a message or a typed failure.
 TEST(Codec, AnyBytesGiveAMessageOrATypedFailure) {
     EXPECT_TRUE(rc::check([] {
         const auto bytes = *rc::gen::container<std::string>(rc::gen::arbitrary<char>());
@@ -230,7 +232,7 @@
     }));
 }
 
-// A damaged message is refused or decodes to something; it never crashes and never hangs.
+// A damaged message is refused or decodes to some message, without a crash or an endless loop.
 TEST(Codec, FlippedBytesAreHarmless) {
     EXPECT_TRUE(rc::check([] {
         Attempt attempt;
