--- a/src/connection/endpoint.cpp
+++ b/src/connection/endpoint.cpp
@@ -19,7 +19,7 @@
 
 // What an engine reports about itself at GET /status.
 struct EngineStatus {
-    bool known = false;
+    bool valid = false;
     Epoch fence = NoEpoch;
     std::string state; // empty, loading, ready
     std::string model;
@@ -101,8 +101,8 @@
                                          }});
     }
 
-    void run_after(Duration pause, std::function<void()> run) {
-        const auto timer = std::make_shared<asio::steady_timer>(io_, pause);
+    void run_after(Duration delay, std::function<void()> run) {
+        const auto timer = std::make_shared<asio::steady_timer>(io_, delay);
         timer->async_wait([timer, run = std::move(run)](asio::error_code error) {
             if (!error)
                 run();
@@ -123,7 +123,7 @@
     // over, then unloads the engine under the fence that it reports.
     void reset(std::function<void(bool)> done) override {
         status([this, done](const EngineStatus& s) {
-            if (!s.known)
+            if (!s.valid)
                 return done(false);
             if (s.state == "loading")
                 return run_after(StatusPoll, [this, done] { reset(done); });
@@ -192,7 +192,7 @@
             status(
                 [this, epoch, done](const EngineStatus& s) {
                     const bool other = checks_fence_ && s.fence < epoch;
-                    if (!s.known)
+                    if (!s.valid)
                         return done(EndpointHealth::Unknown);
                     done(other || s.state == "empty" ? EndpointHealth::Ended
                                                      : EndpointHealth::Serving);
@@ -212,7 +212,7 @@
             [this, done](const Expected<int>& code, const std::string& body) {
                 constexpr int Ok = 200;
                 const EngineStatus s = code && *code == Ok ? parse_status(body) : EngineStatus{};
-                can_resume_ = s.known ? s.resumes : can_resume_;
+                can_resume_ = s.valid ? s.resumes : can_resume_;
                 done(s);
             },
             timeout);
@@ -264,9 +264,9 @@
             const bool same = s.model == assignment.model.model &&
                               s.version == assignment.model.version &&
                               (!checks_fence_ || s.fence == assignment.epoch);
-            if (s.known && s.state == "ready" && same)
+            if (s.valid && s.state == "ready" && same)
                 return done(true);
-            if (s.known && s.state == "empty")
+            if (s.valid && s.state == "empty")
                 return done(false);
             run_after(StatusPoll, [this, assignment, done] { await_load(assignment, done); });
         });
--- a/src/connection/httpclient.cpp
+++ b/src/connection/httpclient.cpp
@@ -46,7 +46,7 @@
     WatchedSocket& operator=(const WatchedSocket&) = delete;
 
     asio::posix::stream_descriptor descriptor;
-    int wanted = 0;
+    int poll_events = 0;
     bool reading = false;
     bool writing = false;
 };
@@ -164,18 +164,18 @@
         auto& watched = client.watched_[fd];
         if (!watched)
             watched = std::make_shared<WatchedSocket>(client.io_, fd);
-        watched->wanted = what;
+        watched->poll_events = what;
         client.wait(watched, fd);
         return 0;
     }
 
     void wait(const std::shared_ptr<WatchedSocket>& watched, curl_socket_t fd) {
         using Wait = asio::posix::stream_descriptor::wait_type;
-        if ((watched->wanted & CURL_POLL_IN) != 0 && !watched->reading) {
+        if ((watched->poll_events & CURL_POLL_IN) != 0 && !watched->reading) {
             watched->reading = true;
             wait_for(watched, fd, Wait::wait_read, CURL_CSELECT_IN);
         }
-        if ((watched->wanted & CURL_POLL_OUT) != 0 && !watched->writing) {
+        if ((watched->poll_events & CURL_POLL_OUT) != 0 && !watched->writing) {
             watched->writing = true;
             wait_for(watched, fd, Wait::wait_write, CURL_CSELECT_OUT);
         }
@@ -190,7 +190,7 @@
             if (!*alive || !w || error == asio::error::operation_aborted)
                 return;
             (event == CURL_CSELECT_IN ? w->reading : w->writing) = false;
-            if ((w->wanted & event) != 0)
+            if ((w->poll_events & event) != 0)
                 perform(fd, error ? CURL_CSELECT_ERR : event);
             const auto still = watched_.find(fd);
             if (still != watched_.end() && still->second == w)
--- a/src/connection/serverconnection.cpp
+++ b/src/connection/serverconnection.cpp
@@ -18,7 +18,7 @@
 // with unread bytes would reset the connection and lose the response.
 constexpr Duration LingerTime = std::chrono::seconds(1);
 // Bytes of later requests that are buffered while one is processed.
-constexpr std::size_t MaxHeldBytes = 64u << 10;
+constexpr std::size_t MaxBufferedBytes = 64u << 10;
 constexpr std::size_t MaxHeaderCount = 128;
 
 } // namespace
@@ -121,7 +121,7 @@
 }
 
 void ServerConnection::read_more() {
-    if (reading_ || phase_ == Phase::Closed || held_.size() > MaxHeldBytes)
+    if (reading_ || phase_ == Phase::Closed || buffered_.size() > MaxBufferedBytes)
         return;
     reading_ = true;
     socket_.async_read_some(asio::buffer(in_),
@@ -151,7 +151,7 @@
     if (phase_ == Phase::Lingering)
         return;
     if (phase_ == Phase::Working) {
-        held_.append(bytes);
+        buffered_.append(bytes);
         return;
     }
     parse(bytes);
@@ -172,7 +172,7 @@
     if (phase_ == Phase::Head && head_bytes() > core_->limits.header_bytes)
         refused_ = 431;
     if (complete_) {
-        held_.assign(bytes.substr(std::min(parsed, bytes.size())));
+        buffered_.assign(bytes.substr(std::min(parsed, bytes.size())));
         request_done();
         return;
     }
@@ -208,7 +208,7 @@
 
 void ServerConnection::linger() {
     set_phase(Phase::Lingering, BootClock::now() + LingerTime);
-    held_.clear();
+    buffered_.clear();
     read_more();
 }
 
@@ -287,16 +287,16 @@
     continue_sent_ = false;
     assembler_ = {};
     set_phase(Phase::Idle, BootClock::now() + core_->limits.idle_timeout);
-    if (held_.empty()) {
+    if (buffered_.empty()) {
         read_more();
         return;
     }
     // Deferred to the event loop: the handler may have responded within the call that delivered
     // the request.
     asio::post(core_->io, [self = shared_from_this()] {
-        if (self->phase_ != Phase::Idle || self->held_.empty())
+        if (self->phase_ != Phase::Idle || self->buffered_.empty())
             return;
-        const std::string bytes = std::exchange(self->held_, {});
+        const std::string bytes = std::exchange(self->buffered_, {});
         self->parse(bytes);
         self->read_more();
     });
@@ -306,12 +306,12 @@
 // close counts too: it can not be told from a close until bytes are sent, and an endpoint must not
 // work for a caller that has disconnected.
 std::optional<Time> ServerConnection::left() {
-    if (left_ || phase_ == Phase::Closed)
-        return left_;
+    if (disconnected_at_ || phase_ == Phase::Closed)
+        return disconnected_at_;
     pollfd state{socket_.native_handle(), POLLRDHUP, 0};
     if (poll(&state, 1, 0) > 0)
-        left_ = BootClock::now();
-    return left_;
+        disconnected_at_ = BootClock::now();
+    return disconnected_at_;
 }
 
 void ServerConnection::sweep(Time now) {
@@ -347,8 +347,8 @@
         return;
     const auto self = shared_from_this();
     phase_ = Phase::Closed;
-    if (!left_)
-        left_ = BootClock::now();
+    if (!disconnected_at_)
+        disconnected_at_ = BootClock::now();
     asio::error_code ignored;
     socket_.close(ignored);
     asio::post(core_->io, [self] {
--- a/src/connection/serverconnection.h
+++ b/src/connection/serverconnection.h
@@ -114,7 +114,7 @@
     Phase phase_ = Phase::Idle;
     Time deadline_{};
     std::array<char, ReadBytes> in_{};
-    std::string held_; // bytes of later requests
+    std::string buffered_; // bytes of later requests
     bool reading_ = false;
     RequestMessage message_;
     HeaderAssembler assembler_;
@@ -129,7 +129,7 @@
     std::string wire_;
     bool write_active_ = false;
     Time write_since_{};
-    std::optional<Time> left_; // when the caller's close was noticed
+    std::optional<Time> disconnected_at_; // when the caller's close was noticed
     std::function<void()> on_disconnect_;
 };
 
--- a/src/version/deployment.cpp
+++ b/src/version/deployment.cpp
@@ -64,14 +64,14 @@
 Expected<void> check(const Deployment& deployment) {
     std::set<std::string> route_keys;
     for (const Route& route : deployment.routes) {
-        if (auto good = check_route(deployment, route); !good)
-            return good;
+        if (auto checked = check_route(deployment, route); !checked)
+            return checked;
         if (!route_keys.insert(route_key(route)).second)
             return fail(FailureKind::BadSettings, "two routes at " + route_key(route));
     }
     for (const Service& service : deployment.services)
-        if (auto good = check_engine(service); !good)
-            return good;
+        if (auto checked = check_engine(service); !checked)
+            return checked;
     std::set<std::string> keys;
     for (const CustomerKeys& customer : deployment.customers)
         for (const std::string& key :
--- a/src/version/settings.cpp
+++ b/src/version/settings.cpp
@@ -54,9 +54,9 @@
 
 // Ignores an older version of a value, since deltas may arrive twice or out of order.
 void SettingsTree::put(const PlacedSetting& item) {
-    Setting& known = levels_[item.path][item.key];
-    if (item.setting.version >= known.version)
-        known = item.setting;
+    Setting& current = levels_[item.path][item.key];
+    if (item.setting.version >= current.version)
+        current = item.setting;
 }
 
 std::optional<Setting> SettingsTree::at(const std::string& path, const std::string& key) const {
--- a/tests/unit/http_test.cpp
+++ b/tests/unit/http_test.cpp
@@ -141,11 +141,11 @@
 TEST(HttpServer, NoticesThatTheCallerDisconnects) {
     asio::io_context io;
     const std::string address = free_address();
-    bool gone = false;
+    bool disconnected = false;
     std::shared_ptr<HttpExchange> held;
     const auto server = serve_http(io, address, {}, [&](const std::shared_ptr<HttpExchange>& e) {
         held = e;
-        e->on_disconnect([&] { gone = true; });
+        e->on_disconnect([&] { disconnected = true; });
     });
     asio::ip::tcp::socket caller(io);
     caller.connect(parse_address(address).value());
@@ -157,7 +157,7 @@
     };
     ASSERT_TRUE(run_until([&] { return held != nullptr; }));
     caller.close();
-    EXPECT_TRUE(run_until([&] { return gone; }));
+    EXPECT_TRUE(run_until([&] { return disconnected; }));
 }
 
 // Messages are accepted from a peer that shares a key, and neither from a peer with another key nor
--- a/tests/unit/httpserver_test.cpp
+++ b/tests/unit/httpserver_test.cpp
@@ -241,8 +241,8 @@
 
 TEST_F(ServerTest, AConnectionIsIdleAfterItsResponse) {
     serve();
-    Caller kept(io_, address_);
-    kept.send(PlainRequest);
+    Caller idle(io_, address_);
+    idle.send(PlainRequest);
     io_.run_for(std::chrono::milliseconds(50));
     EXPECT_EQ(server_->connections(), 1u);
     EXPECT_EQ(server_->busy(), 0u);
@@ -272,8 +272,8 @@
     void SetUp() override {
         serve();
         handler_ = [this](const std::shared_ptr<HttpExchange>& e) {
-            kept_.push_back(e);
-            e->on_disconnect([this] { ++gone_; });
+            unanswered_.push_back(e);
+            e->on_disconnect([this] { ++disconnects_; });
         };
     }
     void run(std::chrono::milliseconds time) {
@@ -281,8 +281,8 @@
         io_.run_for(time);
     }
 
-    std::vector<std::shared_ptr<HttpExchange>> kept_;
-    int gone_ = 0;
+    std::vector<std::shared_ptr<HttpExchange>> unanswered_;
+    int disconnects_ = 0;
 };
 
 TEST_F(DisconnectTest, NoticesACloseBehindManyUnreadBytes) {
@@ -293,20 +293,20 @@
         run(std::chrono::milliseconds(10));
     }
     EXPECT_EQ(handled_, 1);
-    EXPECT_EQ(gone_, 0);
+    EXPECT_EQ(disconnects_, 0);
     caller.disconnect();
     run(DisconnectNoticeTime);
-    EXPECT_EQ(gone_, 1);
+    EXPECT_EQ(disconnects_, 1);
 }
 
 TEST_F(DisconnectTest, ACallerThatClosesItsSendingSideCountsAsDisconnected) {
     Caller caller(io_, address_);
     caller.send(PlainRequest);
     run(std::chrono::milliseconds(20));
-    EXPECT_EQ(gone_, 0);
+    EXPECT_EQ(disconnects_, 0);
     caller.shutdown_sending();
     run(DisconnectNoticeTime);
-    EXPECT_EQ(gone_, 1);
+    EXPECT_EQ(disconnects_, 1);
 }
 
 // A response that is given within the call that delivers the request needs no further work, and the
