--- a/src/version/keys.cpp
+++ b/src/version/keys.cpp
@@ -1,3 +1,5 @@
+// The settings keys themselves, and the matching of keys against their patterns.
+
 #include "version/keys.h"
 
 #include <algorithm>
@@ -48,7 +50,8 @@
     return row.back();
 }
 
-// Puts the operator's names of `key` in place of the stars, so that the hint can be pasted.
+// Replaces the stars of a pattern with the operator's names from `key`, so that an operator can
+// paste the suggested key.
 std::string fill(std::string_view pattern, std::string_view key) {
     const auto given = split(key);
     std::string out;
@@ -126,35 +129,38 @@
         {"placement/stranded_weight", Number, "per accelerator second", 0, 1000, "0.1",
          "Price of one second of one live accelerator that holds no serving group."},
         {"placement/silent_after_ms", Integer, "ms", 500, 60000, "2000",
-         "Silence after which a host counts as missing."},
+         "Time without contact after which a host counts as missing."},
         {"placement/expected_return_ms", Integer, "ms", 100, 3600000, "30000",
-         "Mean outage of a host that returns, before any outage was observed."},
+         "Mean outage of a host that returns, assumed before any outage was observed."},
         {"placement/loss_share", Number, "", 0.001, 0.999, "0.05",
-         "Share of outages that last until a repair by hand, before any was observed."},
+         "Share of outages that last until a manual repair, assumed before any was observed."},
         {"placement/loss_horizon_ms", Integer, "ms", 1000, 86400000, "600000",
-         "Length at which the price of a host that does not return is cut off."},
+         "Duration that the price assumes for the outage of a host that does not return."},
         {"placement/loads_at_once", Integer, "groups", 1, 64, "2",
          "Groups that may load from the weight store at the same time."},
         {"placement/drain_timeout_ms", Integer, "ms", 1000, 3600000, "120000",
-         "Longest time that a planned stop waits for work in flight."},
+         "Longest time that a planned stop waits for requests in flight."},
         {"gate/echo_timeout_ms", Integer, "ms", 300, 5000, "1500",
-         "Age of a member's last echo at which the lead closes the gate."},
+         "Age of a member's last ping reply at which the lead closes the gate."},
         {"weight_store/mb_per_second", Number, "MB/s", 0.001, 1000000, "1000",
-         "Rate of the weight store, for the expected time of a load."},
-        {"models/*/replicas", Integer, "groups", 0, 10000, "0", "Wanted groups of this model."},
+         "Throughput of the weight store, from which the expected load time is computed."},
+        {"models/*/replicas", Integer, "groups", 0, 10000, "0",
+         "Groups that this model should have."},
         {"models/*/hosts_per_group", Integer, "hosts", 1, 64, "4", "Hosts of one replica."},
         {"models/*/version", Text, "", 1, 128, "\"1\"", "Version to load."},
         {"models/*/adapters", TextList, "", 0, 256, "[]", "Adapters to load."},
         {"models/*/weight_mb", Number, "MB per host", 0, 10000000, "1000",
          "Bytes that one host reads from the weight store to load the model."},
-        {"models/*/class", Text, "", 1, 64, "\"standard\"", "Class of requests to this model."},
+        {"models/*/class", Text, "", 1, 64, "\"standard\"",
+         "Traffic class of requests to this model."},
         {"models/*/deadline_ms", Integer, "ms", 10, 3600000, "60000",
-         "Deadline of a request that names none."},
+         "Deadline of a request that does not set one."},
         {"services/*/repeatable", Bool, "", 0, 0, "false",
          "Whether a call may run more than once."},
-        {"services/*/class", Text, "", 1, 64, "\"standard\"", "Class of calls to this service."},
+        {"services/*/class", Text, "", 1, 64, "\"standard\"",
+         "Traffic class of calls to this service."},
         {"services/*/deadline_ms", Integer, "ms", 10, 3600000, "10000",
-         "Deadline of a call that names none."},
+         "Deadline of a call that does not set one."},
         {"services/*/body_bytes", Integer, "bytes", 0, 16777216, "1048576",
          "Largest request body."},
         {"services/*/concurrency", Integer, "calls", 1, 10000, "32",
@@ -182,7 +188,8 @@
          "Viewers read; operators also drain and resolve; admins also change settings.",
          {"viewer", "operator", "admin"}},
         {"operators/*/scope", Text, "", 0, 512, "\"\"",
-         "Level of the tree that the token is good for, with all below; empty for the whole."},
+         "Level of the settings tree for which the token is valid, with all levels below it; empty "
+         "for the whole tree."},
         {"routing/policy",
          Choice,
          "",
@@ -192,11 +199,11 @@
          "How an entry host picks among serving groups.",
          {"two_choices", "round_robin", "least_in_flight"}},
         {"routing/prefix_affinity", Bool, "", 0, 0, "true",
-         "Whether requests with one prefix prefer one group."},
+         "Whether requests with the same prefix prefer the same group."},
         {"routing/affinity_load_bound", Number, "", 1, 10, "1.5",
          "Load, relative to the mean, up to which the preferred group keeps its requests."},
         {"routing/group_slots", Integer, "requests", 1, 100000, "32",
-         "Requests that one group works on at once; the rest wait at its gate."},
+         "Requests that one group processes concurrently; further ones wait at its gate."},
         {"routing/queue_length", Integer, "requests", 0, 100000, "256",
          "Requests that may wait at one gate."},
         {"routing/ejection", Bool, "", 0, 0, "true", "Whether slow groups are avoided."},
