--- a/src/process/followerprogress.h
+++ b/src/process/followerprogress.h
@@ -1,3 +1,6 @@
+// Tracks how far the leader of the replicated log has replicated to one follower.
+// Runs in liftweir-control and liftweir-site-control.
+
 #ifndef FOLLOWERPROGRESS_H_INCLUDED
 #define FOLLOWERPROGRESS_H_INCLUDED
 
@@ -9,41 +12,45 @@
 
 namespace liftweir {
 
-// Place of an entry in the replicated log; the first one is 1.
+// Position of an entry in the replicated log; the first entry has index 1.
 using Index = std::uint64_t;
 
-// What a leader knows of one follower's log, and what it has sent there without an answer yet.
+// What a leader knows about one follower's log, and the messages that the follower has not
+// acknowledged yet.
 class FollowerProgress {
   public:
-    // Probes from an index on; `now` counts as the last answer.
-    FollowerProgress(Index next, Time now) : next_(next), heard_(now) {}
+    // Starts probing at index `next`; `now` counts as the time of the last reply.
+    FollowerProgress(Index next, Time now) : next_(next), last_contact_(now) {}
 
-    // The first entry that was not sent yet.
+    // Index of the first entry that was not sent yet.
     Index next() const { return next_; }
-    // The highest index known to be equal.
+    // Highest index up to which the logs are known to match.
     Index match() const { return match_; }
-    // No entries are sent until the match is found.
+    // True while the matching index is not known; no entries are sent until it is.
     bool probing() const { return probing_; }
-    std::size_t unanswered_bytes() const { return unanswered_bytes_; }
-    // The newest round of heartbeats that the follower answered.
+    std::size_t unacknowledged_bytes() const { return unacknowledged_bytes_; }
+    // Newest round of heartbeats that the follower replied to.
     std::uint64_t round() const { return round_; }
-    Time last_contact() const { return heard_; }
+    // Time of the last reply.
+    Time last_contact() const { return last_contact_; }
     bool snapshot_due(Time now) const { return now >= snapshot_due_; }
-    // Whether it answered since the last call.
+    // Returns whether the follower replied since the last call.
     bool take_active();
 
     void sent_entries(Index last, std::size_t bytes);
-    // The next copy leaves after `patience`, and twice as late after each that goes unanswered.
-    void sent_snapshot(Index index, Time now, Duration patience);
-    void answered(std::uint64_t round, Time now);
-    // Its log is equal up to an index.
+    // The next copy is due after `retry_delay`; the delay doubles with each copy that is not
+    // acknowledged.
+    void sent_snapshot(Index index, Time now, Duration retry_delay);
+    void replied(std::uint64_t round, Time now);
+    // The follower's log matches up to an index.
     void matched(Index index);
-    // Its log ends before what was sent, or differs there: starts over behind an index.
+    // The follower's log ends before the entries sent, or conflicts with them: probing starts again
+    // after index `hint`.
     void rejected(Index hint, Index leader_last);
 
   private:
-    // Entries up to an index, on their way.
-    struct Unanswered {
+    // Entries up to index `last` that were sent and not acknowledged.
+    struct Unacknowledged {
         Index last = 0;
         std::size_t bytes = 0;
     };
@@ -53,12 +60,12 @@
     std::uint64_t round_ = 0;
     bool active_ = false;
     bool probing_ = true;
-    Time heard_;
+    Time last_contact_;
     Time snapshot_due_{};
-    Index snapshot_index_ = 0; // of the last one sent
-    int snapshots_unanswered_ = 0;
-    std::deque<Unanswered> unanswered_;
-    std::size_t unanswered_bytes_ = 0;
+    Index snapshot_index_ = 0; // of the last snapshot sent
+    int snapshots_unacknowledged_ = 0;
+    std::deque<Unacknowledged> unacknowledged_;
+    std::size_t unacknowledged_bytes_ = 0;
 };
 
 } // namespace liftweir
--- a/src/process/logstore.cpp
+++ b/src/process/logstore.cpp
@@ -1,3 +1,5 @@
+// File format and recovery of the replicated log; runs in the control host programs.
+
 #include "process/logstore.h"
 
 #include "connection/codec.h"
@@ -21,14 +23,14 @@
     MSGPACK_DEFINE(has_hard, hard, entries)
 };
 
-// The snapshot file also carries everything that must stay valid with it, so that one rename
-// moves from the old log to the new one.
+// The snapshot file also holds the hard state and the remaining entries, so that a single rename
+// switches from the old log to the new one.
 struct SnapshotFile {
     Snapshot snapshot;
     HardState hard;
-    std::vector<LogEntry> rest;
-    std::uint64_t first_segment = 0; // segments below this number no longer count
-    MSGPACK_DEFINE(snapshot, hard, rest, first_segment)
+    std::vector<LogEntry> remaining;
+    std::uint64_t first_segment = 0; // segments below this number are obsolete
+    MSGPACK_DEFINE(snapshot, hard, remaining, first_segment)
 };
 
 std::string segment_name(std::uint64_t number) {
@@ -45,7 +47,8 @@
     return out + body;
 }
 
-// Returns the body, or nothing where the bytes do not hold one whole valid frame.
+// Returns the body of the first frame, or nullopt where the bytes do not start with a whole, valid
+// frame.
 std::optional<std::string_view> unframe(std::string_view bytes) {
     if (bytes.size() < HeaderBytes)
         return std::nullopt;
@@ -61,9 +64,10 @@
     return body;
 }
 
-// A bad frame is a torn tail only if no valid frame starts anywhere behind it: batches are synced
-// one after another, so a valid one behind a bad one proves that synced bytes were damaged.
-bool valid_frame_behind(std::string_view bytes) {
+// An invalid frame is a torn tail only if no valid frame starts anywhere after it. Batches are
+// synced one after another, so a valid frame after an invalid one proves that synced bytes were
+// damaged.
+bool valid_frame_follows(std::string_view bytes) {
     for (std::size_t at = 1; at + HeaderBytes < bytes.size(); ++at)
         if (unframe(bytes.substr(at)))
             return true;
@@ -87,9 +91,9 @@
 
 } // namespace
 
-Expected<void> LogStore::guard(Expected<void> result) {
+Expected<void> LogStore::keep_failure(Expected<void> result) {
     if (!result)
-        broken_ = result.error();
+        failure_ = result.error();
     return result;
 }
 
@@ -105,7 +109,7 @@
         return fail(FailureKind::Damaged, "snapshot: " + file.error().detail);
     out.snapshot = std::move(file->snapshot);
     out.hard_state = file->hard;
-    out.entries = std::move(file->rest);
+    out.entries = std::move(file->remaining);
     segment_ = file->first_segment;
     return {};
 }
@@ -114,12 +118,12 @@
     const auto bytes = storage_.read(name);
     if (!bytes)
         return tl::make_unexpected(bytes.error());
-    std::string_view rest = *bytes;
-    while (!rest.empty()) {
-        const std::size_t at = bytes->size() - rest.size();
-        const auto body = unframe(rest);
+    std::string_view remaining = *bytes;
+    while (!remaining.empty()) {
+        const std::size_t at = bytes->size() - remaining.size();
+        const auto body = unframe(remaining);
         if (!body) {
-            if (!last || valid_frame_behind(rest))
+            if (!last || valid_frame_follows(remaining))
                 return fail(FailureKind::Damaged,
                             name + " fails its checksum at byte " + std::to_string(at));
             out.tail_cut = true;
@@ -131,7 +135,7 @@
             return fail(FailureKind::Damaged, name + ": " + batch.error().detail);
         if (auto applied = apply_batch(*batch, out); !applied)
             return applied;
-        rest.remove_prefix(HeaderBytes + body->size());
+        remaining.remove_prefix(HeaderBytes + body->size());
     }
     segment_bytes_ = bytes->size();
     return {};
@@ -156,17 +160,18 @@
             return tl::make_unexpected(loaded.error());
         segment_ = std::stoull(name.substr(SegmentPrefix.size()));
     }
-    // What a killed process had written but not synced is read back from memory: it counts as
-    // stored only once it is on the disk.
+    // Bytes that a killed process wrote without syncing are read back from the page cache. They
+    // count as stored only after this sync.
     if (!segments.empty())
         if (auto synced = storage_.sync(segments.back()); !synced)
             return tl::make_unexpected(synced.error());
-    if (auto removed = remove_segments_below(segment_name(first_segment_of(segments))); !removed)
+    if (auto removed = remove_segments_below(segment_name(first_segment_number(segments)));
+        !removed)
         return tl::make_unexpected(removed.error());
     return out;
 }
 
-std::uint64_t LogStore::first_segment_of(const std::vector<std::string>& segments) const {
+std::uint64_t LogStore::first_segment_number(const std::vector<std::string>& segments) const {
     return segments.empty() ? segment_ : std::stoull(segments.front().substr(SegmentPrefix.size()));
 }
 
@@ -191,24 +196,25 @@
 
 Expected<void> LogStore::append(const std::optional<HardState>& hard,
                                 const std::vector<LogEntry>& entries) {
-    if (broken_)
-        return tl::make_unexpected(*broken_);
+    if (failure_)
+        return tl::make_unexpected(*failure_);
     const Batch batch{hard.has_value(), hard.value_or(HardState{}), entries};
-    return guard(write_batch(frame(encode_struct(batch))));
+    return keep_failure(write_batch(frame(encode_struct(batch))));
 }
 
-// One rename switches over. Were the old segments still counted after a crash, an uncommitted
-// suffix that an installed snapshot replaced would come back and could win or grant an election.
+// A single rename switches to the new log. If the old segments still counted after a crash, an
+// uncommitted suffix that an installed snapshot replaced would reappear, and with it this host
+// could win an election or grant a vote that it must not.
 Expected<void> LogStore::save_snapshot(const Snapshot& snapshot, const HardState& hard,
-                                       const std::vector<LogEntry>& rest) {
-    if (broken_)
-        return tl::make_unexpected(*broken_);
-    const SnapshotFile file{snapshot, hard, rest, segment_ + 1};
+                                       const std::vector<LogEntry>& remaining) {
+    if (failure_)
+        return tl::make_unexpected(*failure_);
+    const SnapshotFile file{snapshot, hard, remaining, segment_ + 1};
     if (auto saved = storage_.replace(SnapshotName, frame(encode_struct(file))); !saved)
-        return guard(saved);
+        return keep_failure(saved);
     ++segment_;
     segment_bytes_ = 0;
-    return guard(remove_segments_below(segment_name(segment_)));
+    return keep_failure(remove_segments_below(segment_name(segment_)));
 }
 
 } // namespace liftweir
--- a/src/process/logstore.h
+++ b/src/process/logstore.h
@@ -1,3 +1,6 @@
+// Stores the replicated log and its snapshot in a control host's data directory.
+// Runs in liftweir-control and liftweir-site-control.
+
 #ifndef LOGSTORE_H_INCLUDED
 #define LOGSTORE_H_INCLUDED
 
@@ -6,30 +9,30 @@
 
 namespace liftweir {
 
-// What a control host finds in its data folder when it starts.
+// Contents of the data directory when the process starts.
 struct StoredLog {
     HardState hard_state;
     Snapshot snapshot;
     std::vector<LogEntry> entries;
-    bool tail_cut = false; // an unsynced last batch was cut off
+    bool tail_cut = false; // an unsynced last batch was removed
 };
 
-// Segment files of CRC-framed batches, and one snapshot file. A batch is written and synced as a
-// whole, so a crash can only damage the last one; damage anywhere else is FailureKind::Damaged.
-// After any failure the store answers every call with that failure: a failed fsync may have
-// dropped pages, and writing on would turn a lost batch into a hole.
+// Segment files of batches framed with a checksum, and one snapshot file. A batch is written and
+// synced as a whole, so a crash can only damage the last one; damage anywhere else is
+// FailureKind::Damaged. After a failure every later write returns the same failure: a failed fsync
+// may have dropped pages, and further writes would leave a gap in the log.
 class LogStore {
   public:
     explicit LogStore(Storage& storage) : storage_(storage) {}
 
     Expected<StoredLog> open();
-    // Persists hard state and entries of one RaftReady with one sync.
+    // Persists the hard state and the entries of one RaftReady with a single sync.
     Expected<void> append(const std::optional<HardState>& hard,
                           const std::vector<LogEntry>& entries);
-    // Makes the snapshot durable, then drops the segments that it covers. `rest` are the
-    // entries after the snapshot that must be kept.
+    // Makes the snapshot durable, then removes the segments that it covers. `remaining` holds the
+    // entries after the snapshot, which must be kept.
     Expected<void> save_snapshot(const Snapshot& snapshot, const HardState& hard,
-                                 const std::vector<LogEntry>& rest);
+                                 const std::vector<LogEntry>& remaining);
 
     std::size_t bytes_since_snapshot() const { return segment_bytes_; }
 
@@ -37,14 +40,14 @@
     Expected<void> load_snapshot(StoredLog& out);
     Expected<void> load_segment(const std::string& name, bool last, StoredLog& out);
     Expected<void> remove_segments_below(const std::string& first);
-    std::uint64_t first_segment_of(const std::vector<std::string>& segments) const;
+    std::uint64_t first_segment_number(const std::vector<std::string>& segments) const;
     Expected<void> write_batch(const std::string& bytes);
-    Expected<void> guard(Expected<void> result);
+    Expected<void> keep_failure(Expected<void> result);
 
     Storage& storage_;
     std::uint64_t segment_ = 0;
     std::size_t segment_bytes_ = 0;
-    std::optional<Failure> broken_;
+    std::optional<Failure> failure_;
 };
 
 } // namespace liftweir
--- a/src/process/raft.cpp
+++ b/src/process/raft.cpp
@@ -1,3 +1,5 @@
+// Raft elections, replication, commit and reads; runs in the control host programs.
+
 #include "process/raft.h"
 
 #include "connection/codec.h"
@@ -9,14 +11,14 @@
 
 namespace {
 
-// A follower answers a snapshot only once it has it and has synced it: sending it again at every
-// heartbeat would fill the link with copies. So another copy leaves after twice the time that the
-// first one takes on a link of 40 Mbit/s, and a sync on a slow disk.
-constexpr Duration SnapshotSync = std::chrono::milliseconds(300);
+// A follower acknowledges a snapshot only after it has received and synced it, and a copy with
+// every heartbeat would fill the link. The retry delay is therefore the time for a sync on a slow
+// disk, plus twice the transfer time on a link of 40 Mbit/s.
+constexpr Duration SnapshotSyncTime = std::chrono::milliseconds(300);
 constexpr std::size_t SnapshotBytesPerMilli = 2500;
 
-// Of an entry on the wire, beside its data: small entries count too.
-constexpr std::size_t EntryOverhead = 32;
+// Bytes that an entry takes on the wire beside its data, so that small entries count too.
+constexpr std::size_t EntryOverheadBytes = 32;
 
 struct VotersRecord {
     Voters voters;
@@ -27,8 +29,9 @@
     return std::visit([](const auto& m) { return m.term; }, message);
 }
 
-Duration snapshot_patience(const Snapshot& snapshot) {
-    return SnapshotSync + std::chrono::milliseconds(snapshot.data.size() / SnapshotBytesPerMilli);
+Duration snapshot_retry_delay(const Snapshot& snapshot) {
+    return SnapshotSyncTime +
+           std::chrono::milliseconds(snapshot.data.size() / SnapshotBytesPerMilli);
 }
 
 bool is_pre_vote(const RaftMessage& message) {
@@ -53,7 +56,7 @@
       commit_(snapshot_.index),
       applied_(snapshot_.index),
       now_(now),
-      ticked_(now) {
+      last_tick_(now) {
     assert(log_.empty() || log_.front().index == snapshot_.index + 1);
     stored_ = last_index();
     unstored_ = last_index() + 1;
@@ -73,8 +76,8 @@
     return log_[index - first_index()].term;
 }
 
-// A configuration of voters counts from the moment it is in the log, committed or not: that is
-// what makes one-at-a-time changes safe.
+// A set of voters applies as soon as it is in the log, committed or not: the safety of changing
+// one voter at a time depends on it.
 void Raft::refresh_voters() {
     voters_ = find_voters(last_index(), voters_index_);
 }
@@ -98,9 +101,9 @@
 }
 
 void Raft::reset_election_timer() {
-    const bool heard = leader_heard_ != Time{} || leads();
-    const Duration least = heard ? tuning_.election_min : tuning_.first_election_min;
-    const Duration most = heard ? tuning_.election_max : tuning_.first_election_max;
+    const bool contacted = leader_contact_ != Time{} || leads();
+    const Duration least = contacted ? tuning_.election_min : tuning_.first_election_min;
+    const Duration most = contacted ? tuning_.election_max : tuning_.first_election_max;
     std::uniform_int_distribution<Duration::rep> pick(0, (most - least).count());
     election_deadline_ = now_ + least + Duration(pick(random_));
 }
@@ -109,13 +112,13 @@
     outbox_.push_back({to, std::move(message)});
 }
 
-// A process that was busy for long, or suspended, has not read yet what came meanwhile: heartbeats,
-// or its followers' answers. It reads them before it takes others for silent. Reads are confirmed
-// by rounds, so a leader that stays in office for this long answers nothing stale.
-void Raft::excuse_late_tick(Time now) {
-    const bool late = now - ticked_ > tuning_.election_min / 2;
-    const bool excused = std::exchange(ticked_late_, late);
-    ticked_ = now;
+// A process that was busy or suspended for long has not yet read the heartbeats or replies that
+// arrived meanwhile, so its deadlines are extended once by a heartbeat before it treats other nodes
+// as unresponsive. This can not cause stale reads: reads are confirmed by rounds of heartbeats.
+void Raft::extend_deadlines_after_late_tick(Time now) {
+    const bool late = now - last_tick_ > tuning_.election_min / 2;
+    const bool excused = std::exchange(last_tick_late_, late);
+    last_tick_ = now;
     if (!late || excused)
         return;
     quorum_due_ = std::max(quorum_due_, now + tuning_.heartbeat);
@@ -124,7 +127,7 @@
 
 void Raft::tick(Time now) {
     now_ = now;
-    excuse_late_tick(now);
+    extend_deadlines_after_late_tick(now);
     if (leads()) {
         check_quorum();
         if (leads() && now_ >= heartbeat_due_)
@@ -135,17 +138,17 @@
         start_pre_vote();
 }
 
-// Check-quorum: a leader that is cut off in silence must notice by itself, since nobody can
-// tell it. It stops answering as leader before a successor can be asked for by clients.
+// Check-quorum: a partitioned leader receives no message that would depose it, so it steps down by
+// itself when a majority has not replied. It stops serving before clients can use a successor.
 void Raft::check_quorum() {
     if (now_ < quorum_due_)
         return;
-    std::size_t heard = voters_.contains(self_) ? 1 : 0;
+    std::size_t contacted = voters_.contains(self_) ? 1 : 0;
     for (auto& [node, progress] : progress_) {
         const bool active = progress.take_active();
-        heard += active && voters_.contains(node) ? 1 : 0;
+        contacted += active && voters_.contains(node) ? 1 : 0;
     }
-    if (!is_quorum(heard)) {
+    if (!is_quorum(contacted)) {
         become_follower(hard_.term, NoNode);
         return;
     }
@@ -163,7 +166,7 @@
     reset_election_timer();
 }
 
-// Pre-vote asks whether an election could be won before the term is raised, so that a host
+// A pre-vote finds out whether an election could be won before the term is raised, so that a host
 // that returns from a partition does not depose a working leader.
 void Raft::start_pre_vote() {
     role_ = RaftRole::PreCandidate;
@@ -174,7 +177,7 @@
     for (const NodeId node : voters_)
         if (node != self_)
             send(node, VoteRequest{hard_.term + 1, last_index(), term_at(last_index()), true});
-    maybe_win();
+    check_votes();
 }
 
 void Raft::start_election() {
@@ -186,10 +189,10 @@
     for (const NodeId node : voters_)
         if (node != self_)
             send(node, VoteRequest{hard_.term, last_index(), term_at(last_index()), false});
-    maybe_win();
+    check_votes();
 }
 
-void Raft::maybe_win() {
+void Raft::check_votes() {
     const auto granted = std::count_if(votes_.begin(), votes_.end(), [&](const auto& vote) {
         return vote.second && voters_.contains(vote.first);
     });
@@ -209,7 +212,7 @@
         if (node != self_)
             progress_.try_emplace(node, last_index() + 1, now_);
     quorum_due_ = now_ + tuning_.election_min;
-    // Entries of earlier terms become committed only through one of the own term.
+    // Entries of earlier terms are committed only by committing an entry of the leader's own term.
     append_entry({hard_.term, last_index() + 1, EntryKind::Noop, {}});
     broadcast_append();
 }
@@ -238,8 +241,8 @@
     return last_index();
 }
 
-// Only one voter may be added or removed at a time, and only after the change before it is
-// committed: then every majority of the old set meets every majority of the new one.
+// Only one voter may be added or removed at a time, and only after the previous change is
+// committed: then every majority of the old set shares a voter with every majority of the new set.
 Expected<Index> Raft::propose_voters(const Voters& voters) {
     if (!leads_with_commit())
         return fail(FailureKind::NotLeader, std::to_string(leader_));
@@ -257,8 +260,8 @@
     return index;
 }
 
-// A removed voter stays in the table until it is no learner either, so that it hears of its own
-// removal.
+// A removed voter stays in progress_ until it is no learner either, so that it receives the entry
+// that removes it.
 void Raft::set_learners(const Voters& learners) {
     if (!leads())
         return;
@@ -300,10 +303,10 @@
 
 void Raft::confirm_reads() {
     const auto confirmed = [&](const PendingRead& read) {
-        std::size_t answered = voters_.contains(self_) ? 1 : 0;
+        std::size_t replied = voters_.contains(self_) ? 1 : 0;
         for (const auto& [node, progress] : progress_)
-            answered += progress.round() >= read.round && voters_.contains(node) ? 1 : 0;
-        return read.round <= round_ && is_quorum(answered);
+            replied += progress.round() >= read.round && voters_.contains(node) ? 1 : 0;
+        return read.round <= round_ && is_quorum(replied);
     };
     std::erase_if(reads_, [&](const PendingRead& read) {
         if (!confirmed(read))
@@ -319,16 +322,16 @@
         send_heartbeat(node);
 }
 
-// Goes out even where nothing may be sent: a follower that waits for a snapshot must not stand for
-// election, and its answers keep the leader in office.
+// Sends an empty append even where no entries may be sent: a follower that waits for a snapshot
+// must not start an election, and its replies count towards the leader's quorum.
 void Raft::send_heartbeat(NodeId to) {
     const Index next = progress_.at(to).next();
     send_append(to, std::max(next - 1, snapshot_.index), {});
     send_missing(to);
 }
 
-// What a follower lacks and may be sent now. Sends nothing otherwise: an answer to nothing would
-// cause the next one.
+// Sends the entries or the snapshot that a follower lacks, as far as its limits allow. It never
+// sends an empty append: the reply to it would trigger the next one without end.
 void Raft::send_missing(NodeId to) {
     FollowerProgress& progress = progress_.at(to);
     if (progress.next() <= snapshot_.index) {
@@ -336,19 +339,19 @@
         return;
     }
     while (true) {
-        const Index behind = progress.next() - 1;
+        const Index after_index = progress.next() - 1;
         std::vector<LogEntry> entries = next_entries(progress);
         if (entries.empty())
             return;
-        send_append(to, behind, std::move(entries));
+        send_append(to, after_index, std::move(entries));
     }
 }
 
-void Raft::send_append(NodeId to, Index behind, std::vector<LogEntry> entries) {
+void Raft::send_append(NodeId to, Index after_index, std::vector<LogEntry> entries) {
     AppendRequest request;
     request.term = hard_.term;
-    request.prev_index = behind;
-    request.prev_term = term_at(behind);
+    request.prev_index = after_index;
+    request.prev_term = term_at(after_index);
     request.commit = commit_;
     request.round = round_;
     request.entries = std::move(entries);
@@ -359,12 +362,12 @@
     FollowerProgress& progress = progress_.at(to);
     if (!progress.snapshot_due(now_))
         return;
-    progress.sent_snapshot(snapshot_.index, now_, snapshot_patience(snapshot_));
+    progress.sent_snapshot(snapshot_.index, now_, snapshot_retry_delay(snapshot_));
     send(to, SnapshotRequest{hard_.term, snapshot_});
 }
 
-// The next entries for a follower, as many as may be on the way to it: a host that does not answer
-// must not be sent the log again at each heartbeat.
+// Returns the next entries for a follower, up to the limit of unacknowledged bytes: a host that
+// does not reply must not be sent the log again with each heartbeat.
 std::vector<LogEntry> Raft::next_entries(FollowerProgress& progress) const {
     std::vector<LogEntry> entries;
     if (progress.probing())
@@ -372,10 +375,11 @@
     std::size_t bytes = 0;
     for (Index index = progress.next(); index <= last_index(); ++index) {
         const LogEntry& entry = log_[index - first_index()];
-        const std::size_t size = EntryOverhead + entry.data.size();
-        const std::size_t under_way = progress.unanswered_bytes() + bytes;
+        const std::size_t size = EntryOverheadBytes + entry.data.size();
+        const std::size_t unacknowledged = progress.unacknowledged_bytes() + bytes;
         const bool batch_full = bytes > 0 && bytes + size > tuning_.max_append_bytes;
-        const bool window_full = under_way > 0 && under_way + size > tuning_.max_unanswered_bytes;
+        const bool window_full =
+            unacknowledged > 0 && unacknowledged + size > tuning_.max_unacknowledged_bytes;
         if (batch_full || window_full)
             break;
         bytes += size;
@@ -386,8 +390,8 @@
     return entries;
 }
 
-// The leader counts itself only up to what it has synced. An entry of an earlier term is never
-// committed by counting copies.
+// The leader counts its own copy only up to the index that it has synced. An entry of an earlier
+// term is never committed by counting copies.
 void Raft::advance_commit() {
     if (!leads())
         return;
@@ -401,7 +405,7 @@
     if (majority <= commit_ || term_at(majority) != hard_.term)
         return;
     commit_ = majority;
-    // A removed leader goes on until its own removal is committed, then makes room.
+    // A removed leader continues until its own removal is committed, then steps down.
     if (!voters_.contains(self_) && voters_index_ <= commit_)
         become_follower(hard_.term, NoNode);
 }
@@ -422,7 +426,7 @@
 
 void Raft::on(NodeId from, const VoteRequest& m) {
     const bool follows_live_leader =
-        leader_ != NoNode && leader_ != self_ && now_ - leader_heard_ < tuning_.election_min;
+        leader_ != NoNode && leader_ != self_ && now_ - leader_contact_ < tuning_.election_min;
     const bool leader_alive = leads() || follows_live_leader;
     if (m.pre) {
         const bool grant =
@@ -451,7 +455,7 @@
     if (!counts_pre && !counts)
         return;
     votes_[from] = m.granted;
-    maybe_win();
+    check_votes();
 }
 
 void Raft::on(NodeId from, const AppendRequest& m) {
@@ -461,7 +465,7 @@
     }
     if (role_ != RaftRole::Follower || leader_ != from)
         become_follower(m.term, from);
-    leader_heard_ = now_;
+    leader_contact_ = now_;
     reset_election_timer();
 
     const Index known = std::max(m.prev_index, snapshot_.index);
@@ -496,7 +500,7 @@
     if (!leads() || m.term != hard_.term || !progress_.contains(from))
         return;
     FollowerProgress& progress = progress_.at(from);
-    progress.answered(m.round, now_);
+    progress.replied(m.round, now_);
     confirm_reads();
     if (!m.success) {
         progress.rejected(m.match, last_index());
@@ -519,13 +523,13 @@
     }
     if (role_ != RaftRole::Follower || leader_ != from)
         become_follower(m.term, from);
-    leader_heard_ = now_;
+    leader_contact_ = now_;
     reset_election_timer();
-    const bool held =
+    const bool log_matches =
         m.snapshot.index > snapshot_.index && term_at(m.snapshot.index) == m.snapshot.term;
-    if (m.snapshot.index > commit_ && held) {
-        // The log is equal up to there. What stands behind it was answered for, and the leader may
-        // have counted it: a copy that comes late must not drop it.
+    if (m.snapshot.index > commit_ && log_matches) {
+        // The log matches up to the snapshot's index. The entries after it were acknowledged, and
+        // the leader may have counted them, so a delayed snapshot must not drop them.
         commit_ = m.snapshot.index;
     } else if (m.snapshot.index > commit_) {
         snapshot_ = m.snapshot;
@@ -539,7 +543,7 @@
 }
 
 RaftReady Raft::take_ready() {
-    assert(!taking_);
+    assert(!ready_pending_);
     if (leads() && !reads_.empty() && reads_.back().round > round_) {
         ++round_;
         broadcast_append();
@@ -564,12 +568,12 @@
         ready.committed.push_back(log_[index - first_index()]);
     applied_ = commit_;
     unstored_ = last_index() + 1;
-    taking_ = ready.must_sync();
+    ready_pending_ = ready.must_sync();
     return ready;
 }
 
 void Raft::persisted() {
-    taking_ = false;
+    ready_pending_ = false;
     stored_hard_ = hard_;
     stored_ = last_index();
     advance_commit();
--- a/src/process/raft.h
+++ b/src/process/raft.h
@@ -1,3 +1,6 @@
+// The replicated log of the control hosts (Raft): its entries, messages and state machine.
+// Runs in liftweir-control and liftweir-site-control.
+
 #ifndef RAFT_H_INCLUDED
 #define RAFT_H_INCLUDED
 
@@ -18,8 +21,8 @@
 
 namespace liftweir {
 
-// Names one data folder, not one machine: a host whose disk was lost gets a new one. See
-// process/node.h for how a number is drawn.
+// Identifies one data directory, not one machine: a host that lost its disk gets a new number. See
+// process/node.h for how liftweir-site-control draws it.
 using NodeId = std::uint64_t;
 using Term = std::uint64_t;
 
@@ -37,7 +40,7 @@
     MSGPACK_DEFINE(term, index, kind, data)
 };
 
-// What must be synced before any message that depends on it leaves.
+// State that must be synced to disk before any message that depends on it is sent.
 struct HardState {
     Term term = 0;
     NodeId voted_for = NoNode;
@@ -79,14 +82,14 @@
     Term prev_term = 0;
     std::vector<LogEntry> entries;
     Index commit = 0;
-    std::uint64_t round = 0; // confirms leadership for reads asked before this round
+    std::uint64_t round = 0; // confirms leadership for reads requested before this round
     MSGPACK_DEFINE(term, prev_index, prev_term, entries, commit, round)
 };
 
 struct AppendReply {
     Term term = 0;
     bool success = false;
-    Index match = 0; // highest index known to be equal; on failure, where to go on from
+    Index match = 0; // highest index known to match; on failure, the index to retry after
     std::uint64_t round = 0;
     MSGPACK_DEFINE(term, success, match, round)
 };
@@ -106,26 +109,27 @@
 };
 
 struct RaftTuning {
-    // Heartbeats must outrun the shortest election timeout several times over, or one late
-    // packet between zones (1.5 ms one way, fsync of tens of ms) starts an election.
+    // The shortest election timeout covers several heartbeats. Otherwise one delayed packet
+    // between zones (1.5 ms one way, fsync of tens of ms) would start an election.
     Duration heartbeat = std::chrono::milliseconds(100);
     Duration election_min = std::chrono::milliseconds(450);
     Duration election_max = std::chrono::milliseconds(900);
-    // Bytes in one append, and on the way to one host that has not answered yet; one entry may go
-    // beyond either. A link of 170 Mbit/s carries the second in 50 ms, within one heartbeat.
+    // Limits for the bytes in one append and for the bytes that one host has not acknowledged yet;
+    // a single entry may exceed both. A link of 170 Mbit/s carries the second limit in 50 ms,
+    // within one heartbeat.
     std::size_t max_append_bytes = 256u << 10;
-    std::size_t max_unanswered_bytes = 1u << 20;
-    // The same until a first leader was heard since the start: after a loss of power nobody leads,
-    // and waiting for a leader that may live is in vain.
+    std::size_t max_unacknowledged_bytes = 1u << 20;
+    // Election timeouts before the first contact with a leader since the start. They may be
+    // shorter: after a power failure there is no leader to wait for.
     Duration first_election_min = election_min;
     Duration first_election_max = election_max;
 };
 
-// Work the driver has to do, in this order: install, persist, send, apply.
+// Work for the caller of Raft::take_ready(), in this order: install, persist, send, apply.
 struct RaftReady {
     std::optional<Snapshot> install;
     std::optional<HardState> hard_state;
-    std::vector<LogEntry> append; // replaces everything stored from append.front().index on
+    std::vector<LogEntry> append; // replaces all stored entries from append.front().index on
     std::vector<RaftEnvelope> messages;
     std::vector<LogEntry> committed;
     std::vector<std::uint64_t> confirmed_reads;
@@ -140,9 +144,8 @@
 
 enum class RaftRole : std::uint8_t { Follower, PreCandidate, Candidate, Leader };
 
-// Replicated log as a plain state machine: no socket, clock, file or unseeded randomness.
-// Source: Ongaro and Ousterhout's Raft with pre-vote, check-quorum, read index and
-// one-at-a-time change of voters.
+// Raft after Ongaro and Ousterhout, with pre-vote, check-quorum, read index and changes of one
+// voter at a time. A plain state machine: it uses no socket, clock, file or unseeded randomness.
 class Raft {
   public:
     Raft(NodeId self, RaftTuning tuning, std::uint64_t seed, Voters bootstrap, HardState hard,
@@ -153,15 +156,18 @@
 
     // Appends to the leader's log. Fails with NotLeader.
     Expected<Index> propose(EntryKind kind, std::string data);
-    // Adds or removes one voter. Fails with NotLeader, or Conflict while another change runs.
+    // Adds or removes one voter. Fails with NotLeader, or with Conflict while an earlier change is
+    // not committed.
     Expected<Index> propose_voters(const Voters& voters);
-    // Non-voting nodes that the leader keeps up to date. Forgotten when leadership is lost.
+    // Sets the non-voting nodes that the leader replicates to. A node that loses leadership drops
+    // the set.
     void set_learners(const Voters& learners);
-    // Asks for a confirmation that this node still leads. The id comes back in RaftReady.
+    // Requests a confirmation that this node still leads. The returned id appears later in the
+    // confirmed or failed reads of a RaftReady.
     Expected<std::uint64_t> read_index();
 
     RaftReady take_ready();
-    // The driver has synced everything of the last RaftReady.
+    // To be called once everything in the last RaftReady is synced.
     void persisted();
     // Drops log entries up to the snapshot's index.
     void compact(Snapshot snapshot);
@@ -174,15 +180,16 @@
     NodeId leader() const { return leader_; }
     Term term() const { return hard_.term; }
     NodeId voted_for() const { return hard_.voted_for; }
-    // What the leader knows of another node; nothing where it does not replicate to it.
+    // What the leader knows about another node; nullopt where it does not replicate to that node.
     struct PeerView {
         Index match = 0;
         Time last_contact{};
     };
     std::optional<PeerView> peer(NodeId node) const;
-    // Voters, this one included, that have synced the log up to an index. Leader only.
+    // Number of voters, this node included, that have synced the log up to an index. Only
+    // meaningful on the leader.
     std::size_t synced_copies(Index index) const;
-    // Voters in force at an index of the log.
+    // The set of voters that applies at an index of the log.
     Voters voters_at(Index index) const;
     Index commit() const { return commit_; }
     Index last_index() const;
@@ -207,12 +214,12 @@
     void send(NodeId to, RaftMessage message);
     void send_heartbeat(NodeId to);
     void send_missing(NodeId to);
-    void send_append(NodeId to, Index behind, std::vector<LogEntry> entries);
+    void send_append(NodeId to, Index after_index, std::vector<LogEntry> entries);
     void send_snapshot(NodeId to);
     std::vector<LogEntry> next_entries(FollowerProgress& progress) const;
     void broadcast_append();
     void check_quorum();
-    void excuse_late_tick(Time now);
+    void extend_deadlines_after_late_tick(Time now);
     void advance_commit();
     void confirm_reads();
     void fail_reads();
@@ -222,7 +229,7 @@
     Voters find_voters(Index up_to, Index& found_at) const;
     bool is_quorum(std::size_t votes) const { return votes > voters_.size() / 2; }
     bool log_up_to_date(Index index, Term term) const;
-    void maybe_win();
+    void check_votes();
 
     void on(NodeId from, const VoteRequest& m);
     void on(NodeId from, const VoteReply& m);
@@ -242,9 +249,9 @@
     Index voters_index_ = 0;
     Index commit_ = 0;
     Index applied_ = 0;
-    Index stored_ = 0;    // highest index known to be synced here
-    Index unstored_ = 0;  // lowest index not yet handed to the driver; last_index()+1 if none
-    bool taking_ = false; // a RaftReady is out and not yet persisted
+    Index stored_ = 0;   // highest index known to be synced on this node
+    Index unstored_ = 0; // lowest index not yet returned by take_ready(); last_index() + 1 if none
+    bool ready_pending_ = false; // a RaftReady was taken and is not persisted yet
     std::optional<Snapshot> to_install_;
     RaftRole role_ = RaftRole::Follower;
     NodeId leader_ = NoNode;
@@ -257,12 +264,12 @@
     std::uint64_t round_ = 0;
     std::uint64_t next_read_ = 1;
     Time now_;
-    Time ticked_;
-    bool ticked_late_ = false;
+    Time last_tick_;
+    bool last_tick_late_ = false;
     Time election_deadline_{};
     Time heartbeat_due_{};
     Time quorum_due_{};
-    Time leader_heard_{};
+    Time leader_contact_{};
 };
 
 } // namespace liftweir
--- a/src/process/replica.cpp
+++ b/src/process/replica.cpp
@@ -1,3 +1,5 @@
+// Persisting, applying and compacting the replicated log; runs in the control host programs.
+
 #include "process/replica.h"
 
 #include "connection/codec.h"
@@ -8,15 +10,15 @@
 
 namespace {
 
-// A snapshot is written when the log has grown to so many times the size of the last one: it costs
-// a quarter more writing at the most, and a host that has nothing is sent little more than the
-// state.
-constexpr std::size_t LogPerSnapshot = 4;
-// Below this a snapshot saves nothing: sending so much takes 50 ms at 170 Mbit/s.
-constexpr std::size_t LeastLogBytes = 1u << 20;
-// Beyond this the disk goes first: the smallest control hosts have 128 MB, and a snapshot needs
-// room beside the log that it replaces.
-constexpr std::size_t MostLogBytes = 32u << 20;
+// A snapshot is written when the log has grown to this many times the size of the last snapshot.
+// Snapshots then add at most a quarter to the bytes written, and a host with an empty disk is sent
+// little more than the state.
+constexpr std::size_t LogSizePerSnapshotSize = 4;
+// A snapshot of a smaller log saves nothing: sending this many bytes takes 50 ms at 170 Mbit/s.
+constexpr std::size_t MinLogBytesForSnapshot = 1u << 20;
+// Limits the disk space: the smallest control hosts have 128 MB, and a snapshot needs space beside
+// the log that it replaces.
+constexpr std::size_t MaxLogBytesForSnapshot = 32u << 20;
 
 } // namespace
 
@@ -45,7 +47,7 @@
       raft_(self, tuning, seed, bootstrap, stored.hard_state, stored.snapshot,
             std::move(stored.entries), now),
       applied_(stored.snapshot.index) {
-    note_pending_lease();
+    update_pending_lease();
 }
 
 void Replica::propose(const Command& command, Answer answer) {
@@ -75,7 +77,7 @@
     reads_[*id] = std::move(answer);
 }
 
-// Every entry is persisted before a message that tells of it leaves, and before it is applied.
+// Every entry is persisted before it is applied and before a message that depends on it is sent.
 Expected<std::vector<RaftEnvelope>> Replica::pump() {
     std::vector<RaftEnvelope> out;
     while (true) {
@@ -97,7 +99,7 @@
                 return tl::make_unexpected(stored.error());
         }
         if (!ready.append.empty() || ready.install)
-            note_pending_lease();
+            update_pending_lease();
         if (ready.must_sync())
             raft_.persisted();
         std::move(ready.messages.begin(), ready.messages.end(), std::back_inserter(out));
@@ -117,7 +119,7 @@
     if (entry.kind != EntryKind::Command) {
         ApplyResult done;
         done.version = entry.index;
-        settle(entry.index, entry.term, done);
+        complete(entry.index, entry.term, done);
         return;
     }
     const auto command = decode<Command>(entry.data);
@@ -127,15 +129,15 @@
         if (on_applied_)
             on_applied_(entry.index, *command, result);
     } else {
-        // A command of a newer release: skipped alike on every replica of this release.
+        // A command of a newer release. Every replica of this release skips it in the same way.
         result.ok = false;
         result.failure = FailureKind::Decode;
         result.detail = command.error().detail;
     }
-    settle(entry.index, entry.term, result);
+    complete(entry.index, entry.term, result);
 }
 
-void Replica::settle(Index index, Term term, const ApplyResult& result) {
+void Replica::complete(Index index, Term term, const ApplyResult& result) {
     const auto found = pending_.find(index);
     if (found == pending_.end())
         return;
@@ -147,7 +149,7 @@
         pending.answer(fail(FailureKind::NoQuorum, "leadership was lost"));
 }
 
-// A deposed leader does not know whether its open commands will be committed by its successor.
+// A deposed leader can not know whether its successor will commit the pending commands.
 void Replica::fail_pending() {
     for (auto& [index, pending] : std::exchange(pending_, {}))
         pending.answer(fail(FailureKind::NoQuorum, "leadership was lost"));
@@ -168,7 +170,7 @@
         answer(id, fail(FailureKind::NoQuorum, "leadership was lost"));
 }
 
-void Replica::note_pending_lease() {
+void Replica::update_pending_lease() {
     pending_lease_ = 0;
     for (auto entry = raft_.log().rbegin(); entry != raft_.log().rend(); ++entry) {
         if (entry->index <= applied_)
@@ -184,9 +186,9 @@
 }
 
 Expected<void> Replica::maybe_compact() {
-    const std::size_t due =
-        std::clamp(LogPerSnapshot * raft_.snapshot().data.size(), LeastLogBytes, MostLogBytes);
-    if (store_->bytes_since_snapshot() < due || applied_ == raft_.snapshot().index)
+    const std::size_t threshold = std::clamp(LogSizePerSnapshotSize * raft_.snapshot().data.size(),
+                                             MinLogBytesForSnapshot, MaxLogBytesForSnapshot);
+    if (store_->bytes_since_snapshot() < threshold || applied_ == raft_.snapshot().index)
         return {};
     Snapshot snapshot;
     snapshot.index = applied_;
--- a/src/process/replica.h
+++ b/src/process/replica.h
@@ -1,3 +1,6 @@
+// A control host's copy of the replicated state: Raft, its store on disk and the applied state.
+// Runs in liftweir-control and liftweir-site-control.
+
 #ifndef REPLICA_H_INCLUDED
 #define REPLICA_H_INCLUDED
 
@@ -12,8 +15,8 @@
 
 namespace liftweir {
 
-// One copy of the replicated state: the log, its store and the state that the log builds. Does
-// no I/O but through Storage, and knows no clock but the times it is given.
+// Persists and applies the replicated log. Its only I/O is through Storage, and it reads no clock:
+// callers pass in the time.
 class Replica {
   public:
     using OnApplied = std::function<void(Index, const Command&, const ApplyResult&)>;
@@ -29,22 +32,23 @@
 
     void tick(Time now) { raft_.tick(now); }
     void step(NodeId from, const RaftMessage& message, Time now) { raft_.step(from, message, now); }
-    // The answer comes once the command is applied; NoQuorum where leadership is lost before
-    // that is known: the command may still be applied.
+    // `answer` is called once the command is applied. It gets NoQuorum where leadership is lost
+    // before that is known; the command may still be applied later.
     void propose(const Command& command, Answer answer);
     void propose_voters(const Voters& voters, Answer answer);
-    // Answers once every command committed before the call is applied here.
+    // Calls `answer` once every command that was committed before this call is applied here.
     void read(ReadAnswer answer);
 
-    // Persists, applies, and returns the messages to send. A failure is final: stop the process.
+    // Persists and applies pending work and returns the messages to send. After a failure the
+    // process must stop.
     Expected<std::vector<RaftEnvelope>> pump();
 
     const State& state() const { return state_; }
     const Raft& raft() const { return raft_; }
-    // For the leader's care of voters and learners.
+    // Access for the leader, which sets voters and learners.
     Raft& mutable_raft() { return raft_; }
-    // No command above this index that raises the lease version stands in the log, committed or
-    // not. What an entry host's settings lease rests on.
+    // Index of the newest command in the log, committed or not, that raises the lease version.
+    // Settings leases of entry hosts depend on this value.
     Version logged_lease_version() const {
         return std::max(state_.lease_version(), pending_lease_);
     }
@@ -60,10 +64,10 @@
             RaftTuning tuning, std::uint64_t seed, StoredLog stored, Time now);
 
     void apply(const LogEntry& entry);
-    void settle(Index index, Term term, const ApplyResult& result);
+    void complete(Index index, Term term, const ApplyResult& result);
     void fail_pending();
     void answer_reads(RaftReady& ready);
-    void note_pending_lease();
+    void update_pending_lease();
     Expected<void> maybe_compact();
 
     std::unique_ptr<LogStore> store_;
--- a/src/process/storage.cpp
+++ b/src/process/storage.cpp
@@ -1,3 +1,5 @@
+// Storage on a directory of the file system; runs in the control host programs.
+
 #include "process/storage.h"
 
 #include <cerrno>
@@ -140,7 +142,7 @@
         return {};
     }
 
-    // A new file's name is durable only once its folder is synced; once is enough.
+    // A new file's name is durable only after its directory is synced, which is done once per file.
     Expected<void> sync_folder_once(const std::string& name) {
         if (name == folder_synced_for_)
             return {};
--- a/src/process/storage.h
+++ b/src/process/storage.h
@@ -1,3 +1,6 @@
+// Access to the files in a control host's data directory.
+// Runs in liftweir-control and liftweir-site-control.
+
 #ifndef STORAGE_H_INCLUDED
 #define STORAGE_H_INCLUDED
 
@@ -10,9 +13,9 @@
 
 namespace liftweir {
 
-// The few file operations that the log store needs, so that tests can inject short writes,
-// failed syncs, a full disk and a crash between any two steps. Names are relative to one data
-// folder. Every failure is FailureKind::Storage.
+// The few file operations that the log store needs, as an interface so that tests can inject short
+// writes, failed syncs, a full disk and a crash between any two steps. Names are relative to one
+// data directory. Every failure is FailureKind::Storage.
 class Storage {
   public:
     virtual ~Storage() = default;
@@ -20,16 +23,16 @@
     virtual Expected<std::vector<std::string>> list() = 0;
     virtual Expected<std::string> read(const std::string& name) = 0;
     virtual Expected<void> append(const std::string& name, std::string_view bytes) = 0;
-    // Syncs the file's bytes, and the folder if the file is new.
+    // Syncs the file's contents, and the directory if the file is new.
     virtual Expected<void> sync(const std::string& name) = 0;
     virtual Expected<void> truncate(const std::string& name, std::size_t bytes) = 0;
-    // Writes the whole file under a temporary name, syncs, renames and syncs the folder. For
-    // different names it may be called from different threads.
+    // Writes the whole file under a temporary name, syncs it, renames it and syncs the directory.
+    // Calls for different names may come from different threads.
     virtual Expected<void> replace(const std::string& name, std::string_view bytes) = 0;
     virtual Expected<void> remove(const std::string& name) = 0;
 };
 
-// Storage on a folder of the file system. The folder is made if it is missing, and locked
+// Opens a directory of the file system. The directory is created if it is missing, and locked
 // against a second process.
 Expected<std::unique_ptr<Storage>> open_folder(const std::string& path);
 
--- a/tests/unit/logstore_test.cpp
+++ b/tests/unit/logstore_test.cpp
@@ -1,3 +1,5 @@
+// Tests of the log's files after crashes, torn writes, failed syncs and damage.
+
 #include "process/logstore.h"
 #include "unit/memstorage.h"
 
@@ -17,7 +19,7 @@
     return stored.value_or(StoredLog{});
 }
 
-TEST(LogStore, FindsWhatWasSynced) {
+TEST(LogStore, RestoresSyncedEntries) {
     MemStorage storage;
     LogStore store(storage);
     ASSERT_TRUE(store.open());
@@ -29,7 +31,7 @@
     EXPECT_EQ(stored.entries[1], entry(2, 3));
 }
 
-TEST(LogStore, CutsATornTail) {
+TEST(LogStore, TruncatesATornTail) {
     MemStorage storage;
     LogStore store(storage);
     ASSERT_TRUE(store.open());
@@ -41,10 +43,10 @@
     const StoredLog stored = reopen(storage);
     EXPECT_TRUE(stored.tail_cut);
     EXPECT_EQ(stored.entries.size(), 1u);
-    EXPECT_FALSE(reopen(storage).tail_cut) << "the cut itself must be durable";
+    EXPECT_FALSE(reopen(storage).tail_cut) << "the truncation itself must be durable";
 }
 
-TEST(LogStore, RefusesToStartOnDamageInTheMiddle) {
+TEST(LogStore, FailsToOpenWithDamageInTheMiddle) {
     MemStorage storage;
     LogStore store(storage);
     ASSERT_TRUE(store.open());
@@ -56,7 +58,7 @@
     EXPECT_EQ(stored.error().kind, FailureKind::Damaged);
 }
 
-TEST(LogStore, GoesOnNoMoreAfterAFailedSync) {
+TEST(LogStore, FailsAllWritesAfterAFailedSync) {
     MemStorage storage;
     LogStore store(storage);
     ASSERT_TRUE(store.open());
--- a/tests/unit/memstorage.h
+++ b/tests/unit/memstorage.h
@@ -1,3 +1,5 @@
+// In-memory storage for tests, with injected faults.
+
 #ifndef MEMSTORAGE_H_INCLUDED
 #define MEMSTORAGE_H_INCLUDED
 
@@ -8,7 +10,7 @@
 
 namespace liftweir {
 
-// Storage in memory that keeps apart what is synced and what a crash loses.
+// Keeps synced and unsynced contents of each file apart, so that a crash can drop the latter.
 class MemStorage : public Storage {
   public:
     Expected<std::vector<std::string>> list() override {
@@ -21,17 +23,17 @@
         const auto found = files_.find(name);
         if (found == files_.end())
             return failed();
-        return found->second.now;
+        return found->second.written;
     }
     Expected<void> append(const std::string& name, std::string_view bytes) override {
         if (!step())
             return failed();
         File& file = files_[name];
-        if (file.now.size() + bytes.size() > limit_) {
-            file.now += bytes.substr(0, limit_ - std::min(limit_, file.now.size()));
+        if (file.written.size() + bytes.size() > limit_) {
+            file.written += bytes.substr(0, limit_ - std::min(limit_, file.written.size()));
             return failed();
         }
-        file.now += bytes;
+        file.written += bytes;
         return {};
     }
     Expected<void> sync(const std::string& name) override {
@@ -39,18 +41,19 @@
             return failed();
         File& file = files_[name];
         if (std::exchange(fail_sync_, false)) {
-            // Some of the bytes reached the disk, the rest never will.
-            file.synced = file.now.substr(0, std::min(file.now.size(), file.synced.size() + torn_));
+            // Only some of the bytes reach the disk.
+            file.synced =
+                file.written.substr(0, std::min(file.written.size(), file.synced.size() + torn_));
             return failed();
         }
-        file.synced = file.now;
+        file.synced = file.written;
         return {};
     }
     Expected<void> truncate(const std::string& name, std::size_t bytes) override {
         if (!step())
             return failed();
-        files_[name].now.resize(bytes);
-        files_[name].synced = files_[name].now;
+        files_[name].written.resize(bytes);
+        files_[name].synced = files_[name].written;
         return {};
     }
     Expected<void> replace(const std::string& name, std::string_view bytes) override {
@@ -69,19 +72,19 @@
     void crash() {
         steps_ = std::numeric_limits<int>::max();
         for (auto& [name, file] : files_)
-            file.now = file.synced;
+            file.written = file.synced;
     }
     void fail_sync_next() { fail_sync_ = true; }
     void tear_unsynced(std::size_t bytes) { torn_ = bytes; }
     void limit_bytes(std::size_t bytes) { limit_ = bytes; }
     void stop_after(int steps) { steps_ = steps; }
     void flip_byte(const std::string& name, std::size_t at) {
-        files_[name].now[at] = static_cast<char>(files_[name].now[at] ^ 1);
+        files_[name].written[at] = static_cast<char>(files_[name].written[at] ^ 1);
     }
 
   private:
     struct File {
-        std::string now;
+        std::string written;
         std::string synced;
     };
 
--- a/tests/unit/replica_test.cpp
+++ b/tests/unit/replica_test.cpp
@@ -1,3 +1,5 @@
+// Tests of the replicated log with several control hosts on a simulated network.
+
 #include "connection/codec.h"
 #include "process/replica.h"
 #include "unit/memstorage.h"
@@ -26,7 +28,8 @@
                      1u << 20};
 }
 
-// Control hosts on a virtual clock, with a network that delays, loses, doubles and reorders.
+// Control hosts on a virtual clock, with a network that delays, drops, duplicates and reorders
+// packets.
 class Hosts {
   public:
     explicit Hosts(unsigned count, std::uint64_t seed, Voters bootstrap = {})
@@ -61,22 +64,22 @@
     bool up(NodeId n) const { return replicas_[n - 1] != nullptr; }
     Replica& at(NodeId n) { return *replicas_[n - 1]; }
     void cut(NodeId n, bool off) { cut_[n - 1] = off; }
-    // Neither reads nor notices the time; what comes for it waits.
+    // A busy host neither reads messages nor runs its timers; its messages wait.
     void busy(NodeId n, bool on) { busy_[n - 1] = on; }
     unsigned size() const { return static_cast<unsigned>(replicas_.size()); }
     Time now() const { return now_; }
 
-    // loss and doubling in percent
-    void step(unsigned loss = 0, unsigned doubling = 0) {
+    // `loss` and `duplication` are in percent.
+    void step(unsigned loss = 0, unsigned duplication = 0) {
         now_ += Step;
         for (NodeId n = 1; n <= size(); ++n)
             if (up(n) && !busy_[n - 1]) {
                 at(n).tick(now_);
-                pump(n, loss, doubling);
+                pump(n, loss, duplication);
             }
-        std::deque<Packet> due;
-        due.swap(wire_);
-        for (Packet& p : due) {
+        std::deque<Packet> threshold;
+        threshold.swap(wire_);
+        for (Packet& p : threshold) {
             if (busy_[p.to - 1] || random_() % 3 == 0) {
                 wire_.push_back(std::move(p));
                 continue;
@@ -84,7 +87,7 @@
             if (!up(p.to) || cut_[p.to - 1] || cut_[p.from - 1])
                 continue;
             at(p.to).step(p.from, p.message, now_);
-            pump(p.to, loss, doubling);
+            pump(p.to, loss, duplication);
         }
     }
     void run(Duration d) {
@@ -106,13 +109,13 @@
         RaftMessage message;
     };
 
-    void pump(NodeId n, unsigned loss, unsigned doubling) {
+    void pump(NodeId n, unsigned loss, unsigned duplication) {
         const auto messages = at(n).pump();
         ASSERT_TRUE(messages);
         for (const RaftEnvelope& e : *messages) {
             if (random_() % 100 >= loss)
                 wire_.push_back({n, e.to, e.message});
-            if (random_() % 100 < doubling)
+            if (random_() % 100 < duplication)
                 wire_.push_back({n, e.to, e.message});
         }
     }
@@ -128,7 +131,7 @@
     std::map<Index, std::string> applied_;
 };
 
-// Random crashes, cuts, losses and doubled packets.
+// Random crashes, partitions, and lost and duplicated packets.
 TEST(Replica, KeepsWhatItAcknowledgedUnderRandomFaults) {
     EXPECT_TRUE(rc::check([] {
         Hosts hosts(3, *rc::gen::arbitrary<std::uint64_t>());
@@ -170,30 +173,31 @@
     }));
 }
 
-TEST(Replica, ALeaderCutOffInSilenceStepsDownAndAnswersNothing) {
+TEST(Replica, APartitionedLeaderStepsDownAndAnswersNothing) {
     Hosts hosts(3, 7);
     hosts.run(std::chrono::seconds(3));
     Replica* old = hosts.leader();
     ASSERT_NE(old, nullptr);
     const NodeId cut = old->raft().self();
     hosts.cut(cut, true);
-    bool told_done = false;
-    bool told_failed = false;
-    old->propose(claim(1),
-                 [&](const Expected<ApplyResult>& r) { (r ? told_done : told_failed) = true; });
+    bool reported_done = false;
+    bool reported_failed = false;
+    old->propose(claim(1), [&](const Expected<ApplyResult>& r) {
+        (r ? reported_done : reported_failed) = true;
+    });
     bool read_done = false;
     old->read([&](const Expected<void>& r) { read_done = r.has_value(); });
     hosts.run(std::chrono::milliseconds(1500));
     EXPECT_FALSE(old->raft().leads());
-    EXPECT_FALSE(told_done);
-    EXPECT_TRUE(told_failed);
+    EXPECT_FALSE(reported_done);
+    EXPECT_TRUE(reported_failed);
     EXPECT_FALSE(read_done);
     Replica* successor = hosts.leader();
     ASSERT_NE(successor, nullptr);
     EXPECT_NE(successor->raft().self(), cut);
 }
 
-// A host that was cut off and returns does not raise the term: the leader stays.
+// A host that returns from a partition does not raise the term, so the leader stays.
 TEST(Replica, PreVoteKeepsAReturningHostFromDeposingTheLeader) {
     Hosts hosts(3, 11);
     hosts.run(std::chrono::seconds(3));
@@ -209,7 +213,7 @@
     EXPECT_EQ(leader->raft().term(), term);
 }
 
-TEST(Replica, ALeaderThatWasBusyReadsItsAnswersBeforeItStepsDown) {
+TEST(Replica, ABusyLeaderReadsRepliesBeforeItStepsDown) {
     int uncontested = 0;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         Hosts hosts(3, seed);
@@ -232,7 +236,7 @@
     EXPECT_GT(uncontested, 10);
 }
 
-TEST(Replica, ALeaderThatIsSlowForGoodAndCutOffStepsDown) {
+TEST(Replica, ASlowPartitionedLeaderStepsDown) {
     Hosts hosts(3, 5);
     hosts.run(std::chrono::seconds(3));
     Replica* leader = hosts.leader();
@@ -248,7 +252,7 @@
     EXPECT_FALSE(leader->raft().leads());
 }
 
-TEST(Replica, AHostThatHundredsOfChangesPassedByCatchesUpFromASnapshot) {
+TEST(Replica, AHostFarBehindCatchesUpFromASnapshot) {
     Hosts hosts(3, 13);
     hosts.run(std::chrono::seconds(3));
     const NodeId late = hosts.leader()->raft().self() % 3 + 1;
@@ -270,14 +274,14 @@
     EXPECT_GT(hosts.at(late).raft().snapshot().index, 500u);
 }
 
-// Host 2 of three, with nothing on its disk.
+// Host 2 of three, with an empty disk.
 std::unique_ptr<Replica> open_follower(MemStorage& storage) {
     auto opened = Replica::open(storage, 2, {1, 2, 3}, RaftTuning{}, 7, Time{});
     EXPECT_TRUE(opened);
     return std::move(*opened);
 }
 
-TEST(Replica, ASnapshotThatComesLateDropsNoEntryThatWasAnsweredFor) {
+TEST(Replica, ADelayedSnapshotDropsNoAcknowledgedEntry) {
     MemStorage storage;
     const auto opened = open_follower(storage);
     Replica& host = *opened;
@@ -304,7 +308,7 @@
     EXPECT_EQ(answer->match, 15u);
 }
 
-// Entries that differ from the leader's go, and so do those behind them.
+// Entries that differ from the leader's are dropped, and so are those after them.
 TEST(Replica, ASnapshotReplacesALogThatDiffers) {
     MemStorage storage;
     const auto opened = open_follower(storage);
@@ -354,13 +358,13 @@
     leader->propose_voters({1, 2, 3, 4}, [&](const auto& r) { added = r && r->ok; });
     bool second = true;
     leader->propose_voters({1, 2, 3}, [&](const auto& r) { second = r.has_value(); });
-    EXPECT_FALSE(second) << "the change before is not committed";
+    EXPECT_FALSE(second) << "the previous change is not committed";
     hosts.run(std::chrono::seconds(2));
     EXPECT_TRUE(added);
     EXPECT_EQ(hosts.at(4).raft().voters(), (Voters{1, 2, 3, 4}));
 }
 
-// What a vouch rests on: a logged but uncommitted change counts at once.
+// Lease acknowledgements depend on this: a logged but uncommitted change counts at once.
 TEST(Replica, LoggedLeaseVersionCountsUncommittedChanges) {
     Hosts hosts(3, 19);
     hosts.run(std::chrono::seconds(3));
