--- a/src/process/gate.cpp
+++ b/src/process/gate.cpp
@@ -1,3 +1,5 @@
+// Pings between the members of a group and their timeouts; runs in liftweir-agent.
+
 #include "process/gate.h"
 
 #include <algorithm>
@@ -6,18 +8,19 @@
 
 namespace {
 
-// Five pings within one timeout: four lost in a row close the gate, which two or three lost
-// datagrams on a poor link must not do.
+// With five pings per timeout, four lost in a row close the gate. Two or three lost datagrams on a
+// poor link must not close it.
 constexpr int PingsPerTimeout = 5;
-// Two clocks that drift by 200 ppm each stay far inside one part in a hundred.
+// Upper bound for the drift between two clocks; clocks that drift by 200 ppm each stay far below
+// it.
 constexpr double DriftBound = 0.01;
-constexpr std::size_t OpenPingsKept = 16;
+constexpr std::size_t PendingPingsKept = 16;
 
 } // namespace
 
-// A new group opens no earlier than one echo timeout after its members were free, if the lead of a
-// group that one of them left may not have closed its gate yet. Where control knows that it has,
-// nothing is waited for.
+// A member may come from a group whose lead has not closed its gate yet. The new group then opens
+// one echo timeout after the assignment at the earliest. It need not wait where control knows that
+// the old gates are closed.
 Gate::Gate(Assignment assignment, HostName self, Incarnation incarnation, Time now)
     : assignment_(std::move(assignment)),
       self_(std::move(self)),
@@ -38,8 +41,8 @@
 }
 
 Duration Gate::timeout() const {
-    const auto whole = std::chrono::milliseconds(assignment_.echo_timeout_ms);
-    return std::chrono::duration_cast<Duration>(whole * (1 - DriftBound));
+    const auto full_timeout = std::chrono::milliseconds(assignment_.echo_timeout_ms);
+    return std::chrono::duration_cast<Duration>(full_timeout * (1 - DriftBound));
 }
 
 std::vector<DuePing> Gate::due_pings(Time now) {
@@ -50,7 +53,7 @@
     for (Peer& peer : peers_) {
         const Ping ping{assignment_.epoch, next_ping_, incarnation_, peer.member.incarnation};
         peer.sent[next_ping_] = now;
-        if (peer.sent.size() > OpenPingsKept)
+        if (peer.sent.size() > PendingPingsKept)
             peer.sent.erase(peer.sent.begin());
         out.push_back({peer.member.ping_address, ping});
     }
@@ -58,16 +61,16 @@
     return out;
 }
 
-void Gate::on_ping_reply(const PingReply& echo, Time /*now*/) {
-    if (echo.epoch != assignment_.epoch)
+void Gate::on_ping_reply(const PingReply& reply, Time /*now*/) {
+    if (reply.epoch != assignment_.epoch)
         return;
     for (Peer& peer : peers_) {
-        if (peer.member.incarnation != echo.from)
+        if (peer.member.incarnation != reply.from)
             continue;
-        const auto sent = peer.sent.find(echo.sequence);
+        const auto sent = peer.sent.find(reply.sequence);
         if (sent == peer.sent.end())
             return;
-        peer.proved = std::max(peer.proved, sent->second);
+        peer.newest_replied = std::max(peer.newest_replied, sent->second);
         peer.sent.erase(peer.sent.begin(), std::next(sent));
     }
 }
@@ -79,7 +82,7 @@
 }
 
 bool Gate::fresh(const Peer& peer, Time now) const {
-    return peer.proved != Time{} && now - peer.proved < timeout();
+    return peer.newest_replied != Time{} && now - peer.newest_replied < timeout();
 }
 
 bool Gate::open(Time now) const {
--- a/src/process/gate.h
+++ b/src/process/gate.h
@@ -1,3 +1,6 @@
+// Admission check of a serving group: whether its lead may forward requests to the engine.
+// Runs in liftweir-agent.
+
 #ifndef GATE_H_INCLUDED
 #define GATE_H_INCLUDED
 
@@ -15,9 +18,9 @@
     Ping ping;
 };
 
-// A member's part in one group. On the lead it decides whether the group may serve: only while
-// every other member has echoed a ping that was sent less than the echo timeout ago. All times
-// are the lead's own, so no clocks are compared.
+// State of one member in one group. The lead's gate is open only while every other member has
+// replied to a ping that was sent less than the echo timeout ago. All times are from the lead's
+// clock, so clocks of different hosts are never compared.
 class Gate {
   public:
     Gate(Assignment assignment, HostName self, Incarnation incarnation, Time now);
@@ -25,25 +28,26 @@
     bool leads() const;
     const Assignment& assignment() const { return assignment_; }
     void set_draining(bool draining) { assignment_.draining = draining; }
-    // The own engine has loaded the model and holds the group's epoch.
+    // This host's engine has loaded the model and holds the group's epoch.
     void set_engine_ready(bool ready) { engine_ready_ = ready; }
     bool engine_ready() const { return engine_ready_; }
 
-    // Pings to send now; empty on members that do not lead.
+    // Pings to send now; none on a member that is not the lead.
     std::vector<DuePing> due_pings(Time now);
-    void on_ping_reply(const PingReply& echo, Time now);
-    // The echo to send back, if this member holds its part.
+    void on_ping_reply(const PingReply& reply, Time now);
+    // The reply to send back; nullopt if this member's engine does not hold the group's epoch.
     std::optional<PingReply> answer(const Ping& ping) const;
 
-    // May work be forwarded to the engine now?
+    // Whether requests may be forwarded to the engine now.
     bool open(Time now) const;
+    // Members without a recent reply.
     std::vector<HostName> missing(Time now) const;
 
   private:
     struct Peer {
         Member member;
-        std::map<std::uint64_t, Time> sent; // pings without an echo yet
-        Time proved{};                      // newest sending time of an echoed ping
+        std::map<std::uint64_t, Time> sent; // send times of pings without a reply
+        Time newest_replied{};              // send time of the newest ping with a reply
     };
 
     Duration timeout() const;
--- a/src/process/leaseholder.cpp
+++ b/src/process/leaseholder.cpp
@@ -1,3 +1,6 @@
+// Computes the settings lease from acknowledgements of control hosts; runs in the entry host
+// programs.
+
 #include "process/leaseholder.h"
 
 #include <algorithm>
@@ -8,16 +11,16 @@
 
 namespace {
 
-constexpr std::size_t QuestionsKept = 16;
+constexpr std::size_t RenewalsKept = 16;
 
 } // namespace
 
 std::uint64_t LeaseHolder::asked(NodeId node, Time now) {
     LeaseAcceptor& acceptor = acceptors_[node];
-    acceptor.asked[next_] = now;
-    if (acceptor.asked.size() > QuestionsKept)
+    acceptor.asked[next_sequence_] = now;
+    if (acceptor.asked.size() > RenewalsKept)
         acceptor.asked.erase(acceptor.asked.begin());
-    return next_++;
+    return next_sequence_++;
 }
 
 std::optional<Time> LeaseHolder::asked_at(NodeId node, std::uint64_t sequence) const {
@@ -28,11 +31,11 @@
     return asked == acceptor->second.asked.end() ? std::nullopt : std::optional(asked->second);
 }
 
-// Only a vouch that covers what this entry host holds counts, and it counts from the moment the
-// question left. A push without a question proves no time at all.
+// An acknowledgement counts only if it confirms the version that this entry host has, and it counts
+// from the moment when the renewal was sent. An unsolicited one does not extend the lease.
 void LeaseHolder::on_lease_ack(const LeaseAck& lease_ack, Version lease, Time /*now*/) {
     behind_ = lease_ack.logged > lease;
-    // A control host that is behind must not bring back an older set of voters.
+    // A control host whose log is behind must not restore an older set of voters.
     if (!lease_ack.voters.empty() && lease_ack.voters_index >= voters_index_) {
         voters_ = lease_ack.voters;
         voters_index_ = lease_ack.voters_index;
@@ -42,20 +45,20 @@
     if (asked == acceptor.asked.end())
         return;
     if (lease_ack.registered && lease_ack.logged <= lease)
-        acceptor.proved = std::max(acceptor.proved, asked->second);
+        acceptor.confirmed = std::max(acceptor.confirmed, asked->second);
     acceptor.asked.erase(acceptor.asked.begin(), std::next(asked));
 }
 
 Time LeaseHolder::valid_until() const {
-    std::vector<Time> proved;
+    std::vector<Time> confirmed;
     for (const NodeId node : voters_) {
         const auto acceptor = acceptors_.find(node);
-        proved.push_back(acceptor == acceptors_.end() ? Time{} : acceptor->second.proved);
+        confirmed.push_back(acceptor == acceptors_.end() ? Time{} : acceptor->second.confirmed);
     }
-    if (proved.empty())
+    if (confirmed.empty())
         return {};
-    std::sort(proved.begin(), proved.end(), std::greater<>());
-    const Time majority = proved[proved.size() / 2];
+    std::sort(confirmed.begin(), confirmed.end(), std::greater<>());
+    const Time majority = confirmed[confirmed.size() / 2];
     return majority == Time{} ? Time{} : majority + length_;
 }
 
--- a/src/process/leaseholder.h
+++ b/src/process/leaseholder.h
@@ -1,3 +1,6 @@
+// The settings lease of an entry host: how long it may admit new work with the settings it has.
+// Runs in liftweir-entry and liftweir-site-entry.
+
 #ifndef LEASEHOLDER_H_INCLUDED
 #define LEASEHOLDER_H_INCLUDED
 
@@ -10,23 +13,23 @@
 
 namespace liftweir {
 
-// An entry host's settings lease. It may admit new work while a majority of control hosts has
-// vouched lately that their logs hold nothing above the version that it has. No leader is
-// needed: any majority of vouchers shares a host with any majority that accepts a change.
+// The lease is valid while a majority of control hosts has recently confirmed that their logs hold
+// no settings newer than the version of this entry host. No leader is needed: any majority that
+// confirms shares a host with any majority that accepts a change.
 class LeaseHolder {
   public:
     LeaseHolder(Voters voters, Incarnation incarnation, Duration length = SettingsLease)
         : voters_(std::move(voters)), incarnation_(incarnation), length_(length) {}
 
-    // The next question to one control host.
+    // Records a renewal sent to one control host, and returns its sequence number.
     std::uint64_t asked(NodeId node, Time now);
-    // When the question left; empty where it was answered, or is too old to tell.
+    // When the renewal was sent; nullopt if it was acknowledged already or is no longer recorded.
     std::optional<Time> asked_at(NodeId node, std::uint64_t sequence) const;
-    // `lease` is the version that this entry host holds now.
+    // `lease` is the settings version that this entry host has now.
     void on_lease_ack(const LeaseAck& lease_ack, Version lease, Time now);
-    // End of the lease; Time{} where it never began.
+    // End of the lease; Time{} where there never was one.
     Time valid_until() const;
-    // A control host has something newer than this entry host.
+    // The latest acknowledgement came from a control host with newer settings than this entry host.
     bool behind() const { return behind_; }
     const Voters& voters() const { return voters_; }
     Incarnation incarnation() const { return incarnation_; }
@@ -34,14 +37,14 @@
   private:
     struct LeaseAcceptor {
         std::map<std::uint64_t, Time> asked;
-        Time proved{};
+        Time confirmed{};
     };
 
     Voters voters_;
     Index voters_index_ = 0;
     Incarnation incarnation_;
     Duration length_;
-    std::uint64_t next_ = 1;
+    std::uint64_t next_sequence_ = 1;
     bool behind_ = false;
     std::map<NodeId, LeaseAcceptor> acceptors_;
 };
--- a/src/process/node.cpp
+++ b/src/process/node.cpp
@@ -1,3 +1,5 @@
+// Drawing, storing and formatting node numbers; runs in liftweir-site-control.
+
 #include "process/node.h"
 
 #include <asio.hpp>
@@ -54,7 +56,7 @@
         const auto [end, error] = std::from_chars(text->data(), text->data() + text->size(), node);
         if (error == std::errc() && end == text->data() + text->size() && node != NoNode)
             return node;
-        return fail(FailureKind::Damaged, "the file of the node number holds no number");
+        return fail(FailureKind::Damaged, "the node file does not contain a node number");
     }
     NodeId node = address_bits(ip);
     if (!founder) {
--- a/src/process/node.h
+++ b/src/process/node.h
@@ -1,3 +1,6 @@
+// Node numbers of control hosts that find each other by address.
+// Runs in liftweir-site-control.
+
 #ifndef NODE_H_INCLUDED
 #define NODE_H_INCLUDED
 
@@ -8,22 +11,24 @@
 
 namespace liftweir {
 
-// Where control hosts find each other by themselves, a node number carries the IPv4 address of
-// the host in its low half, and in its high half a number drawn for its data folder. So the log's
-// set of voters is all that a host needs to reach the others, and a host whose disk was lost is
-// another node: it can never vote as its former self.
+// The low half of a node number is the host's IPv4 address, and the high half is a random number
+// drawn for its data directory. The log's set of voters is thus all that a host needs to reach the
+// others, and a host that lost its disk is a different node, which can not vote a second time under
+// its former number.
 
-// The founders of a deployment, which know each other only by address, have folder number zero.
+// Node number of a host that takes part in the first start of a deployment. These hosts know each
+// other only by address, so the number of their data directory is zero.
 NodeId founder_node(const std::string& ip);
 // "ip:port" of a node; all control hosts listen on one port.
 std::string address_of(NodeId node, std::uint16_t port);
 std::string ip_of(NodeId node);
 bool same_host(NodeId a, NodeId b);
-// "folder@ip", for logs.
+// "number@ip" for log messages, with the number of the data directory.
 std::string text_of(NodeId node);
 
-// Reads the number of a data folder, or draws one and keeps it. `founder` only at the very first
-// start of the whole system. Fails with Storage.
+// Reads the node number of a data directory, or draws one and stores it. `founder` may only be set
+// at the very first start of the whole deployment. Fails with Storage, or with Damaged where the
+// file holds no number.
 Expected<NodeId> node_of_folder(Storage& storage, const std::string& ip, bool founder);
 
 } // namespace liftweir
--- a/src/process/settingsrollout.h
+++ b/src/process/settingsrollout.h
@@ -1,3 +1,6 @@
+// Decides when a committed change of settings is effective on all entry hosts.
+// Runs in liftweir-control; the lease times below also apply in the entry host programs.
+
 #ifndef SETTINGSROLLOUT_H_INCLUDED
 #define SETTINGSROLLOUT_H_INCLUDED
 
@@ -12,30 +15,30 @@
 
 namespace liftweir {
 
-// An entry host admits new work for this long after a majority of control hosts vouched for its
-// settings, on its own clock, counted from when it asked.
+// After a majority of control hosts has confirmed its settings, an entry host admits new work for
+// this long, measured on its own clock from when it sent the renewal.
 constexpr Duration SettingsLease = std::chrono::milliseconds(1000);
-// The control side waits longer, by more than two clocks drift apart in that time.
+// Control hosts wait longer, by more than two clocks can drift apart in that time.
 constexpr Duration SettingsLeaseWait = std::chrono::milliseconds(1100);
 
-// Decides when an accepted change of settings is in force everywhere: as soon as every registered
-// entry host has it, and at the latest when the leases granted before it have run out.
+// A change is effective as soon as every registered entry host has it, and at the latest when all
+// leases that were granted before the change have expired.
 class SettingsRollout {
   public:
     void reset(Time now);
-    // An entry host holds this version, or a higher one.
+    // An entry host has this version, or a higher one.
     void acknowledged(const std::string& entry, Version version);
-    // An entry host was retired: it may go on under its lease.
+    // An entry host was removed from the registered ones; it may continue until its lease expires.
     void retired(Time now);
     void committed(Version version, Time now);
-    // True where nobody can act on settings below `version` any more.
+    // True where no entry host can act on settings older than `version` any more.
     bool reached(Version version, const std::set<std::string>& registered, Time now) const;
 
   private:
-    std::map<std::string, Version> have_;
+    std::map<std::string, Version> acknowledged_;
     std::map<Version, Time> committed_;
-    Time no_shortcut_until_{};
-    Time started_{};
+    Time wait_for_leases_until_{};
+    Time leader_since_{};
 };
 
 } // namespace liftweir
--- a/tests/unit/gate_test.cpp
+++ b/tests/unit/gate_test.cpp
@@ -1,3 +1,5 @@
+// Tests of a group's gate, settings leases, the fair queue, limits, retries and routing.
+
 #include "process/gate.h"
 #include "process/leaseholder.h"
 #include "process/settingsrollout.h"
@@ -22,7 +24,7 @@
     return a;
 }
 
-TEST(Gate, OpensOnlyAfterTheOldGroupsMustHaveClosed) {
+TEST(Gate, OpensOnlyAfterEarlierGroupsMustHaveClosed) {
     Gate gate(pair_of_hosts(), "lead", 1, Start);
     gate.set_engine_ready(true);
     const auto pings = gate.due_pings(Start);
@@ -34,7 +36,7 @@
     EXPECT_TRUE(gate.open(later));
 }
 
-TEST(Gate, OpensAtOnceWhereTheOldGroupsAreKnownToBeClosed) {
+TEST(Gate, OpensAtOnceIfEarlierGroupsAreKnownToBeClosed) {
     Assignment assignment = pair_of_hosts();
     assignment.waits_to_open = false;
     Gate gate(assignment, "lead", 1, Start);
@@ -44,8 +46,8 @@
     EXPECT_TRUE(gate.open(Start));
 }
 
-// What counts is when the ping left: an echo that was held back proves only the past.
-TEST(Gate, ALateEchoProvesOnlyThePast) {
+// The send time of a ping counts, so a delayed reply to an old ping does not open the gate.
+TEST(Gate, ADelayedReplyToAnOldPingDoesNotOpenIt) {
     Gate gate(pair_of_hosts(), "lead", 1, Start);
     gate.set_engine_ready(true);
     const auto ping = gate.due_pings(Start).at(0).ping;
@@ -55,7 +57,7 @@
     EXPECT_EQ(gate.missing(late), std::vector<HostName>{"other"});
 }
 
-TEST(Gate, AMemberEchoesOnlyWhatItHoldsInItsOwnIncarnation) {
+TEST(Gate, AMemberRepliesOnlyForItsOwnEpochAndIncarnation) {
     Gate member(pair_of_hosts(), "other", 2, Start);
     EXPECT_FALSE(member.answer({7, 1, 1, 2})) << "the engine is not ready";
     member.set_engine_ready(true);
@@ -64,13 +66,13 @@
     EXPECT_FALSE(member.answer({7, 1, 1, 3}));
 }
 
-// Random losses and delays.
-TEST(Gate, IsNeverOpenOnOldProof) {
+// Replies are lost and delayed at random.
+TEST(Gate, IsNeverOpenOnExpiredReplies) {
     EXPECT_TRUE(rc::check([] {
         Gate gate(pair_of_hosts(), "lead", 1, Start);
         gate.set_engine_ready(true);
         Time now = Start;
-        Time newest_proof{};
+        Time newest_reply{};
         std::vector<std::pair<Time, PingReply>> wire;
         for (const int action :
              *rc::gen::container<std::vector<int>>(200, rc::gen::inRange(0, 8))) {
@@ -81,11 +83,11 @@
                 const auto at = wire.begin() + static_cast<std::ptrdiff_t>(action) %
                                                    static_cast<std::ptrdiff_t>(wire.size());
                 gate.on_ping_reply(at->second, now);
-                newest_proof = std::max(newest_proof, at->first);
+                newest_reply = std::max(newest_reply, at->first);
                 wire.erase(at);
             }
             if (gate.open(now))
-                RC_ASSERT(now - newest_proof < milliseconds(1500));
+                RC_ASSERT(now - newest_reply < milliseconds(1500));
         }
     }));
 }
@@ -100,7 +102,7 @@
     return v;
 }
 
-TEST(LeaseHolder, NeedsAMajorityThatKnowsNothingNewer) {
+TEST(LeaseHolder, NeedsAMajorityWithoutNewerSettings) {
     LeaseHolder lease({1, 2, 3}, 9);
     const auto a = lease.asked(1, Start);
     const auto b = lease.asked(2, Start + milliseconds(10));
@@ -111,10 +113,10 @@
     EXPECT_TRUE(lease.behind());
     const auto c = lease.asked(2, Start + milliseconds(100));
     lease.on_lease_ack(lease_ack(2, c, 6), 6, Start + milliseconds(900));
-    EXPECT_EQ(lease.valid_until(), Start + SettingsLease) << "counts from the older question";
+    EXPECT_EQ(lease.valid_until(), Start + SettingsLease) << "counts from the older renewal";
 }
 
-TEST(LeaseHolder, APushProvesNoTime) {
+TEST(LeaseHolder, AnUnsolicitedAcknowledgementDoesNotExtendIt) {
     LeaseHolder lease({1}, 9);
     lease.asked(1, Start);
     lease.on_lease_ack(lease_ack(1, 0, 5), 5, Start);
@@ -135,7 +137,7 @@
     EXPECT_TRUE(force.reached(9, {"a", "b"}, now + SettingsLeaseWait));
 }
 
-TEST(SettingsRollout, ANewLeaderWaitsOutTheLeasesThatItDoesNotKnow) {
+TEST(SettingsRollout, ANewLeaderWaitsUntilUnknownLeasesExpire) {
     SettingsRollout force;
     force.reset(Start);
     force.acknowledged("a", 4);
@@ -148,7 +150,7 @@
     return {{1, n, 1}, cls, customer, weight, 10, shed, 1, Start + std::chrono::hours(1), true};
 }
 
-// Shares under contention follow the weights; the small class is not starved.
+// Under contention, shares follow the weights and the small class is not starved.
 TEST(FairQueue, SharesFollowWeights) {
     FairQueue queue(1, 10000);
     std::uint64_t n = 0;
@@ -185,7 +187,7 @@
     EXPECT_LE(position, 2);
 }
 
-TEST(FairQueue, RefusesAtOnceWhatCanNotMeetItsDeadline) {
+TEST(FairQueue, RejectsAtOnceARequestThatCanNotMeetItsDeadline) {
     FairQueue queue(1, 100);
     std::vector<QueueItem> expired;
     for (std::uint64_t n = 1; n <= 10; ++n)
@@ -201,8 +203,9 @@
     EXPECT_GE(refused.retry_after, std::chrono::seconds(3));
 }
 
-// Started now it would be cut before its end: its work would be lost for everybody.
-TEST(FairQueue, DoesNotStartWhatWouldBeCut) {
+// A request that would reach its deadline before it ends is not started, as its work would be
+// wasted.
+TEST(FairQueue, DoesNotStartARequestThatWouldMissItsDeadline) {
     FairQueue queue(1, 100);
     std::vector<QueueItem> expired;
     QueueItem known = item(1, "c", "a", 10);
@@ -238,7 +241,8 @@
     EXPECT_EQ(high.shed, (AttemptId{1, 3, 1}));
 }
 
-// Counts stay right and the bound holds, whatever is offered, started, removed or finished.
+// Counts stay correct and the bound holds for any order of offers, starts, removals and
+// completions.
 TEST(FairQueue, CountsStayRight) {
     EXPECT_TRUE(rc::check([] {
         FairQueue queue(3, 5);
@@ -275,7 +279,7 @@
     }));
 }
 
-TEST(Limits, ARateIsKeptAndTheWaitIsTold) {
+TEST(Limits, EnforcesARateAndReturnsTheWait) {
     CustomerLimits limits;
     const CustomerRates rates{10, 1e6, 1000};
     int admitted = 0;
@@ -296,7 +300,7 @@
     EXPECT_FALSE(limits.admit(rates, Start + std::chrono::seconds(5)));
 }
 
-TEST(RetryBudget, IsPaidForBySuccesses) {
+TEST(RetryBudget, IsEarnedBySuccessfulRequests) {
     RetryBudget budget;
     int free = 0;
     while (budget.take())
@@ -323,7 +327,7 @@
     return out;
 }
 
-TEST(Router, OnePrefixMeetsOneGroupUntilItIsLoaded) {
+TEST(Router, KeepsAPrefixAtOneGroupUntilItIsLoaded) {
     Router router("z", 1);
     auto groups = targets(5);
     RoutingRules rules;
