--- a/src/process/endpointcachefile.cpp
+++ b/src/process/endpointcachefile.cpp
@@ -1,3 +1,5 @@
+// Background writer for the endpoint cache; runs in liftweir-site-control.
+
 #include "process/endpointcachefile.h"
 
 #include "connection/codec.h"
@@ -15,16 +17,17 @@
 
 namespace {
 
-constexpr const char* RosterName = "endpoints";
-// A full disk is tried again: whoever has the last word on disk is believed after a loss of power.
-constexpr Duration RetryEvery = std::chrono::milliseconds(500);
+constexpr const char* FileName = "endpoints";
+// A failed write, such as on a full disk, is retried, because the cache is used after a power
+// failure.
+constexpr Duration RetryInterval = std::chrono::milliseconds(500);
 
-struct Roster {
+struct CachedEndpoints {
     std::vector<EndpointReport> reports;
     MSGPACK_DEFINE(reports)
 };
 
-// The sequence rises with each report, and would make each write differ from the last.
+// The sequence number rises with each report and would make every write differ from the last one.
 EndpointReport without_sequence(EndpointReport report) {
     report.sequence = 0;
     return report;
@@ -32,8 +35,8 @@
 
 } // namespace
 
-// Outlives its EndpointCacheFile while the disk holds a write up: a process must be able to end
-// then.
+// Shared with the writing thread, so that it outlives its owner while the disk stalls a write: the
+// process must be able to end meanwhile.
 class EndpointCacheFile::Writer : public std::enable_shared_from_this<EndpointCacheFile::Writer> {
   public:
     explicit Writer(std::shared_ptr<Storage> storage) : storage_(std::move(storage)) {}
@@ -63,27 +66,28 @@
                 return;
             std::string bytes = *std::exchange(next_, std::nullopt);
             lock.unlock();
-            const bool kept = write(bytes);
+            const bool written = write(bytes);
             lock.lock();
-            if (!kept)
+            if (!written)
                 retry(std::move(bytes), lock);
         }
     }
 
-    // Endpoints may not change for long, and nothing else would write them again.
+    // Retries by itself, because the next change of the endpoints, and so the next write, may be
+    // far off.
     void retry(std::string bytes, std::unique_lock<std::mutex>& lock) {
-        wake_.wait_for(lock, RetryEvery, [this] { return next_.has_value() || stopped_; });
+        wake_.wait_for(lock, RetryInterval, [this] { return next_.has_value() || stopped_; });
         if (!next_)
             next_ = std::move(bytes);
     }
 
     bool write(const std::string& bytes) {
-        const auto kept = storage_->replace(RosterName, bytes);
+        const auto written = storage_->replace(FileName, bytes);
         const std::lock_guard lock(mutex_);
-        if (!kept && !stopped_)
+        if (!written && !stopped_)
             log(LogLevel::Warning, "known endpoints could not be kept on disk",
-                {{"detail", kept.error().detail}});
-        return kept.has_value();
+                {{"detail", written.error().detail}});
+        return written.has_value();
     }
 
     std::shared_ptr<Storage> storage_;
@@ -104,33 +108,34 @@
 
 std::vector<EndpointReport> EndpointCacheFile::load() const {
     const auto names = storage_->list();
-    if (!names || std::find(names->begin(), names->end(), RosterName) == names->end())
+    if (!names || std::find(names->begin(), names->end(), FileName) == names->end())
         return {};
-    const auto bytes = storage_->read(RosterName);
+    const auto bytes = storage_->read(FileName);
     if (!bytes) {
         log(LogLevel::Warning, "known endpoints could not be read",
             {{"detail", bytes.error().detail}});
         return {};
     }
-    auto roster = decode_struct<Roster>(*bytes);
-    if (!roster) {
+    auto cached = decode_struct<CachedEndpoints>(*bytes);
+    if (!cached) {
         log(LogLevel::Warning, "known endpoints could not be read",
-            {{"detail", roster.error().detail}});
+            {{"detail", cached.error().detail}});
         return {};
     }
-    return std::move(roster->reports);
+    return std::move(cached->reports);
 }
 
-// The registry keeps silent endpoints for long, as they may be cut off from control alone.
+// The registry keeps unresponsive endpoints for long, as they may be partitioned from control only,
+// so the cache is restricted to recent ones.
 void EndpointCacheFile::keep(const Registry& registry, Time since) {
-    Roster roster;
+    CachedEndpoints cached;
     for (const auto& [id, item] : registry.items())
         if (item.report.phase == EndpointPhase::Serving && item.last_contact >= since)
-            roster.reports.push_back(without_sequence(item.report));
-    std::string bytes = encode_struct(roster);
-    if (bytes == kept_)
+            cached.reports.push_back(without_sequence(item.report));
+    std::string bytes = encode_struct(cached);
+    if (bytes == last_contents_)
         return;
-    kept_ = bytes;
+    last_contents_ = bytes;
     writer_->put(std::move(bytes));
 }
 
--- a/src/process/endpointcachefile.h
+++ b/src/process/endpointcachefile.h
@@ -1,3 +1,6 @@
+// The endpoint cache: the endpoints that a control host knows, stored on its disk.
+// Runs in liftweir-site-control.
+
 #ifndef ENDPOINTCACHEFILE_H_INCLUDED
 #define ENDPOINTCACHEFILE_H_INCLUDED
 
@@ -9,25 +12,25 @@
 
 namespace liftweir {
 
-// The endpoints that a control host knew a moment ago, on its disk. After a loss of power on all
-// hosts, entry hosts can serve by it until the endpoints have registered again. It is a hint: what
-// endpoints say themselves always goes first, and groups are never formed by it.
+// After a power failure of all hosts, entry hosts can serve with this cache until the endpoints
+// have registered again. It is only a hint: reports of the endpoints take precedence, and groups
+// are never formed from it.
 //
-// Writing goes on in a thread of its own, since a disk may stand still for seconds. A write that
-// fails is logged, and the next one tries again.
+// A separate thread writes the file, since a disk may stall for seconds. A write that fails is
+// logged and retried.
 class EndpointCacheFile {
   public:
-    // `storage` has to stay usable while the last write goes on.
+    // `storage` must remain usable until the last write has ended.
     explicit EndpointCacheFile(std::shared_ptr<Storage> storage);
     ~EndpointCacheFile();
     EndpointCacheFile(const EndpointCacheFile&) = delete;
     EndpointCacheFile& operator=(const EndpointCacheFile&) = delete;
 
-    // What was kept before this process began; empty where there is nothing, or nothing readable.
+    // The endpoints stored before this process started; empty if the file is missing or unreadable.
     std::vector<EndpointReport> load() const;
-    // Replaces what is kept, soon, by the endpoints that serve and were heard since `since`. A
-    // write that is still waiting is replaced by this one; what is kept already is not written
-    // again.
+    // Stores, in the background, the endpoints that serve and were known to be alive at `since` or
+    // later. Replaces a write that has not started yet. A list that equals the last one is not
+    // written again.
     void keep(const Registry& registry, Time since);
 
   private:
@@ -35,7 +38,7 @@
 
     std::shared_ptr<Storage> storage_;
     std::shared_ptr<Writer> writer_;
-    std::string kept_; // the bytes of the last write that was asked for
+    std::string last_contents_; // contents of the last requested write
 };
 
 } // namespace liftweir
--- a/src/process/limitallocator.cpp
+++ b/src/process/limitallocator.cpp
@@ -1,3 +1,5 @@
+// Rendezvous hashing and expiry of limit shares; runs in liftweir-site-control.
+
 #include "process/limitallocator.h"
 
 #include <algorithm>
@@ -9,28 +11,29 @@
 
 namespace {
 
-// A leader that was cut off may lend until it notices.
+// A partitioned leader may grant shares until it steps down.
 constexpr Duration TakeoverMargin = std::chrono::seconds(1);
 constexpr double RateSmoothing = 0.2;
-// An entry host without callers may get some at any moment.
-constexpr double LeastCallsPerSecond = 0.05;
-// Splits follow the callers no faster than this: a part that moves is unused until its loan ends.
+// Assumed rate of an entry host without callers, since it may get some at any moment.
+constexpr double MinCallsPerSecond = 0.05;
+// A split is kept for this long, because a share that moves to another entry host is unused until
+// the old one expires.
 constexpr Duration SplitKept = std::chrono::seconds(4);
 
-// Whoever has a part keeps it, unless another entry host has so many times its callers.
-constexpr double HoldersFirst = 4;
-// Parts change only where one is off by this much of itself.
+// An entry host keeps its share unless another one has this many times its rate of calls.
+constexpr double HolderPreference = 4;
+// A split changes only if one share differs from the intended one by more than this fraction.
 constexpr double PartTolerance = 0.3;
 
-// In (0, 1], and the same for a pair at each leader.
-double draw_of(const EndpointId& endpoint, const std::string& entry) {
+// A pseudo-random number in (0, 1] that every leader computes alike for the pair.
+double pseudo_random_of(const EndpointId& endpoint, const std::string& entry) {
     const std::size_t hash = std::hash<std::string>()(text_of(endpoint) + "/" + entry);
     constexpr std::size_t Steps = 1u << 20;
     return static_cast<double>(hash % Steps + 1) / Steps;
 }
 
-// Callers come and go all the time; parts move where their number about doubles.
-double rounded(double calls_per_second) {
+// Rounds to a power of two: rates vary all the time, and shares move only when one about doubles.
+double round_to_power_of_two(double calls_per_second) {
     return std::exp2(std::round(std::log2(calls_per_second)));
 }
 
@@ -38,9 +41,9 @@
 
 void LimitAllocator::take_over(Time now) {
     entries_.clear();
-    loans_.clear();
+    grants_.clear();
     splits_.clear();
-    lends_from_ = now + LimitShareTime + TakeoverMargin;
+    grants_from_ = now + LimitShareTime + TakeoverMargin;
 }
 
 void LimitAllocator::seen(const std::string& entry, Incarnation incarnation, std::uint64_t calls,
@@ -52,9 +55,9 @@
         known = {incarnation, calls, known.per_second, now};
         return;
     }
-    // Questions that follow each other at once tell nothing of a rate.
-    constexpr double LeastSeconds = 0.3;
-    if (seconds < LeastSeconds)
+    // Renewals in quick succession are too short an interval to measure a rate.
+    constexpr double MinSeconds = 0.3;
+    if (seconds < MinSeconds)
         return;
     const double rate = static_cast<double>(calls - known.calls) / seconds;
     known.per_second += RateSmoothing * (rate - known.per_second);
@@ -62,8 +65,8 @@
     known.seen = now;
 }
 
-// By weighted rendezvous: of several limits, each goes to other entry hosts, and rather to those
-// with many callers. A limit that gives each of them too little is split between fewer.
+// Weighted rendezvous hashing: different limits go to different entry hosts, preferably to those
+// with many calls. A limit that is too small for all entry hosts is split between fewer of them.
 LimitAllocator::Parts LimitAllocator::make_split(const LimitReport& limit,
                                                  const Parts& before) const {
     struct Ranked {
@@ -73,9 +76,9 @@
     };
     std::vector<Ranked> ranked;
     for (const auto& [name, entry] : entries_) {
-        const double weight = rounded(std::max(entry.per_second, LeastCallsPerSecond));
-        const double first = before.contains(name) ? HoldersFirst : 1;
-        const double score = -std::log(draw_of(limit.endpoint, name)) / (first * weight);
+        const double weight = round_to_power_of_two(std::max(entry.per_second, MinCallsPerSecond));
+        const double first = before.contains(name) ? HolderPreference : 1;
+        const double score = -std::log(pseudo_random_of(limit.endpoint, name)) / (first * weight);
         ranked.push_back({score, weight, name});
     }
     std::sort(ranked.begin(), ranked.end(), [](const Ranked& a, const Ranked& b) {
@@ -101,7 +104,7 @@
     return parts;
 }
 
-LimitAllocator::Parts LimitAllocator::settled(Parts parts, const Parts& before) {
+LimitAllocator::Parts LimitAllocator::keep_if_similar(Parts parts, const Parts& before) {
     const auto same = [](const auto& a, const auto& b) {
         return a.first == b.first && std::abs(a.second - b.second) <= PartTolerance * b.second;
     };
@@ -116,43 +119,43 @@
     });
     if (kept.parts.empty() || !complete || kept.per_second != limit.per_second ||
         now - kept.made > SplitKept)
-        kept = {limit.per_second, now, settled(make_split(limit, kept.parts), kept.parts)};
+        kept = {limit.per_second, now, keep_if_similar(make_split(limit, kept.parts), kept.parts)};
     return kept.parts;
 }
 
-double LimitAllocator::lent_to_others(const Loans& limit_shares, const std::string& entry,
-                                      Time now) {
+double LimitAllocator::share_of_others(const Grants& grants, const std::string& entry, Time now) {
     double sum = 0;
-    for (const auto& [name, lent] : limit_shares) {
+    for (const auto& [name, granted] : grants) {
         if (name == entry)
             continue;
         double most = 0;
-        for (const Loan& limit_share : lent)
-            if (limit_share.until > now)
-                most = std::max(most, limit_share.part);
+        for (const Grant& grant : granted)
+            if (grant.until > now)
+                most = std::max(most, grant.part);
         sum += most;
     }
     return sum;
 }
 
-// A smaller part counts once the larger one before it has ended: the message may be lost.
+// A smaller share counts only after the previous larger one has expired, since the message that
+// reduces it may be lost.
 std::optional<std::vector<LimitShare>>
 LimitAllocator::grant_shares(const std::string& entry, const ReportedLimits& limits, Time now) {
-    if (now < lends_from_)
+    if (now < grants_from_)
         return {};
     std::vector<LimitShare> out;
     for (const LimitReport& limit : limits.reports(now)) {
         if (limit.per_second <= 0)
             continue;
-        Loans& limit_shares = loans_[limit.endpoint];
+        Grants& grants = grants_[limit.endpoint];
         const Parts& parts = split(limit, now);
         const auto wanted = parts.find(entry);
-        const double left = 1 - lent_to_others(limit_shares, entry, now);
+        const double left = 1 - share_of_others(grants, entry, now);
         double part = wanted == parts.end() ? 0 : std::min(wanted->second, left);
         if (part * limit.per_second < LeastSharePerSecond / 2 && part < 1)
             part = 0;
         if (part > 0)
-            limit_shares[entry].push_back({part, now + LimitShareTime});
+            grants[entry].push_back({part, now + LimitShareTime});
         out.push_back({limit.endpoint, part});
     }
     return out;
@@ -161,12 +164,12 @@
 void LimitAllocator::expire(Time now) {
     std::erase_if(entries_,
                   [&](const auto& item) { return now - item.second.seen > LimitShareTime; });
-    for (auto& [endpoint, limit_shares] : loans_) {
-        for (auto& [entry, lent] : limit_shares)
-            std::erase_if(lent, [&](const Loan& limit_share) { return limit_share.until <= now; });
-        std::erase_if(limit_shares, [](const auto& item) { return item.second.empty(); });
+    for (auto& [endpoint, grants] : grants_) {
+        for (auto& [entry, granted] : grants)
+            std::erase_if(granted, [&](const Grant& grant) { return grant.until <= now; });
+        std::erase_if(grants, [](const auto& item) { return item.second.empty(); });
     }
-    std::erase_if(loans_, [](const auto& item) { return item.second.empty(); });
+    std::erase_if(grants_, [](const auto& item) { return item.second.empty(); });
     std::erase_if(splits_,
                   [&](const auto& item) { return now - item.second.made > 2 * SplitKept; });
 }
--- a/src/process/limitallocator.h
+++ b/src/process/limitallocator.h
@@ -1,3 +1,6 @@
+// Splits the rate limits of endpoints between entry hosts.
+// Runs in liftweir-site-control.
+
 #ifndef LIMITALLOCATOR_H_INCLUDED
 #define LIMITALLOCATOR_H_INCLUDED
 
@@ -15,7 +18,7 @@
 
 namespace liftweir {
 
-// The part of an endpoint's limit that one entry host may use.
+// The share of an endpoint's limit that one entry host may use.
 struct LimitShare {
     EndpointId endpoint;
     double part = 0; // 0 to 1
@@ -24,24 +27,24 @@
     MSGPACK_DEFINE(endpoint, part)
 };
 
-// A loan ends so long after the entry host asked for it.
+// A share expires this long after the entry host requested it.
 constexpr Duration LimitShareTime = std::chrono::seconds(3);
-// Requests a second below which a part is not worth having: a limit is split into no more parts
-// than that.
+// Smallest useful share, in requests per second. A limit is not split into smaller shares.
 constexpr double LeastSharePerSecond = 0.75;
 
-// Splits the limits of endpoints between entry hosts, at the control host that leads. The parts of
-// an endpoint that may be in use at any moment add up to one at most, whatever gets lost. Pure.
+// Used by the leading control host. The shares of an endpoint's limit that may be in use at any
+// moment add up to at most one, whichever messages are lost. Does no I/O.
 class LimitAllocator {
   public:
-    // Leaders before may have lent, so nothing is lent until that has ended.
+    // Earlier leaders may have granted shares, so none are granted until these have expired.
     void take_over(Time now);
-    // The entry host has taken so many requests since it started.
+    // The entry host has received `calls` requests since it started.
     void seen(const std::string& entry, Incarnation incarnation, std::uint64_t calls, Time now);
-    // What the entry host may use for LimitShareTime; empty where this host may not lend yet.
+    // Shares that the entry host may use for LimitShareTime; nullopt where this leader may not
+    // grant any yet.
     std::optional<std::vector<LimitShare>> grant_shares(const std::string& entry,
                                                         const ReportedLimits& limits, Time now);
-    // Forgets entry hosts that do not ask any more, and loans that have ended.
+    // Removes entry hosts that no longer request shares, and shares that have expired.
     void expire(Time now);
 
   private:
@@ -51,14 +54,14 @@
         double per_second = 0; // smoothed
         Time seen{};
     };
-    struct Loan {
+    struct Grant {
         double part = 0;
         Time until{};
     };
-    using Loans = std::map<std::string, std::vector<Loan>>; // by entry host
+    using Grants = std::map<std::string, std::vector<Grant>>; // by entry host
     using Parts = std::map<std::string, double>;
 
-    // The wanted part of each entry host, for an endpoint.
+    // The intended share of each entry host in one endpoint's limit.
     struct Split {
         double per_second = 0;
         Time made{};
@@ -67,13 +70,13 @@
 
     const Parts& split(const LimitReport& limit, Time now);
     Parts make_split(const LimitReport& limit, const Parts& before) const;
-    static Parts settled(Parts parts, const Parts& before);
-    static double lent_to_others(const Loans& limit_shares, const std::string& entry, Time now);
+    static Parts keep_if_similar(Parts parts, const Parts& before);
+    static double share_of_others(const Grants& grants, const std::string& entry, Time now);
 
     std::map<std::string, Entry> entries_;
-    std::map<EndpointId, Loans> loans_;
+    std::map<EndpointId, Grants> grants_;
     std::map<EndpointId, Split> splits_;
-    Time lends_from_{};
+    Time grants_from_{};
 };
 
 } // namespace liftweir
--- a/src/process/quarantine.cpp
+++ b/src/process/quarantine.cpp
@@ -1,3 +1,5 @@
+// Records of requests that crash endpoints; runs in liftweir-site-control and liftweir-site-entry.
+
 #include "process/quarantine.h"
 
 #include <algorithm>
@@ -6,27 +8,28 @@
 
 namespace {
 
-// Endpoints that end within so short a time may have one cause, like a lost domain, and a request
-// that is asked often may have been at several of them. What was sent to the second one after the
-// first had ended is not meant.
-constexpr Duration OneCause = std::chrono::milliseconds(50);
-// A request that comes again less often is not held back for what it did so long ago.
-constexpr Duration Kept = std::chrono::minutes(10);
-// Who is held back by mistake is not so for long; who ends an endpoint again, soon for good. Each
-// end costs the calls of a whole group, up to 40 in a played day.
-constexpr Duration FirstHold = std::chrono::minutes(10);
-constexpr Duration SecondHold = std::chrono::hours(1);
-constexpr Duration LastHold = std::chrono::hours(24);
-// Each endpoint that ends leaves a record for each call that it had, up to 48.
-constexpr std::size_t MostRecords = 4096;
-// Enough to know an endpoint again that two hosts tell of.
+// Endpoints that crash within this time may have a common cause, such as a failed fabric domain,
+// and copies of a frequent request may have been at several of them. Such crashes count once,
+// unless the request was sent to the second endpoint after the first one had crashed.
+constexpr Duration CommonCauseTime = std::chrono::milliseconds(50);
+// A record is forgotten after this time without a crash or a quarantine, so that a request that
+// comes rarely is not quarantined for old crashes.
+constexpr Duration RecordKept = std::chrono::minutes(10);
+// The first quarantine is short in case of a mistake, and each further crash makes it longer, since
+// a crash costs the calls of a whole group, up to 40.
+constexpr Duration FirstQuarantine = std::chrono::minutes(10);
+constexpr Duration SecondQuarantine = std::chrono::hours(1);
+constexpr Duration LongestQuarantine = std::chrono::hours(24);
+// A crashed endpoint leaves one record for each call that it had, up to 48.
+constexpr std::size_t MaxRecords = 4096;
+// Enough to recognise a crash that two hosts report.
 constexpr std::size_t EndpointsKept = 8;
 
-bool names(const std::vector<EndpointId>& endpoints, const EndpointId& id) {
+bool has_endpoint(const std::vector<EndpointId>& endpoints, const EndpointId& id) {
     return std::find(endpoints.begin(), endpoints.end(), id) != endpoints.end();
 }
 
-void add_name(std::vector<EndpointId>& endpoints, const EndpointId& id) {
+void add_endpoint(std::vector<EndpointId>& endpoints, const EndpointId& id) {
     if (endpoints.size() == EndpointsKept)
         endpoints.erase(endpoints.begin());
     endpoints.push_back(id);
@@ -35,42 +38,42 @@
 } // namespace
 
 Duration quarantine_time(std::uint32_t ends) {
-    if (ends < EndsToQuarantine)
+    if (ends < CrashesToQuarantine)
         return Duration::zero();
-    if (ends == EndsToQuarantine)
-        return FirstHold;
-    return ends == EndsToQuarantine + 1 ? SecondHold : LastHold;
+    if (ends == CrashesToQuarantine)
+        return FirstQuarantine;
+    return ends == CrashesToQuarantine + 1 ? SecondQuarantine : LongestQuarantine;
 }
 
-// True where the record was not held back before.
-bool Quarantine::hold(Record& record, Time until, Time now) {
+// Returns true where the request was not in quarantine before.
+bool Quarantine::extend_quarantine(Record& record, Time until, Time now) {
     const bool held = record.until > now;
     record.until = std::max(record.until, until);
     return !held && record.until > now;
 }
 
-// Whether this end and the one before may go back to something else that ended both.
-bool Quarantine::is_of_one_cause(const Record& record, const AbortedRequest& what, Time now) {
-    const Time sent = now - std::chrono::milliseconds(what.age_ms);
-    return record.ends > 0 && now - record.last_end < OneCause && sent < record.last_end;
+// True if this crash and the previous one may have a common cause other than the request.
+bool Quarantine::has_common_cause(const Record& record, const AbortedRequest& request, Time now) {
+    const Time sent = now - std::chrono::milliseconds(request.age_ms);
+    return record.ends > 0 && now - record.last_crash < CommonCauseTime && sent < record.last_crash;
 }
 
-bool Quarantine::aborted(const AbortedRequest& what, const EndpointId& endpoint, Time now) {
+bool Quarantine::aborted(const AbortedRequest& request, const EndpointId& endpoint, Time now) {
     make_room();
-    Record& record = records_[what.content];
-    if (names(record.endpoints, endpoint))
+    Record& record = records_[request.content];
+    if (has_endpoint(record.endpoints, endpoint))
         return false;
-    add_name(record.endpoints, endpoint);
-    if (is_of_one_cause(record, what, now))
+    add_endpoint(record.endpoints, endpoint);
+    if (has_common_cause(record, request, now))
         return false;
-    record.last_end = now;
+    record.last_crash = now;
     ++record.ends;
     const Duration time = quarantine_time(record.ends);
-    return time > Duration::zero() && hold(record, now + time, now);
+    return time > Duration::zero() && extend_quarantine(record, now + time, now);
 }
 
-// Words of an end go over several hosts. Copies that come after the answer which cleared the
-// request must not count anew.
+// Keeps the endpoints of the record: reports of a crash arrive through several hosts, and copies
+// that arrive after the request was cleared must not count again.
 bool Quarantine::clear(const Fingerprint& content) {
     const auto found = records_.find(content);
     if (found == records_.end() || found->second.ends == 0)
@@ -85,30 +88,31 @@
     return found != records_.end() && found->second.ends > 0;
 }
 
-// False where all that is told was known when the request was cleared.
-bool Quarantine::tells_news(const Record& record, const SuspectRequest& told) {
+// False if the report only holds crashes that were known when the request was cleared.
+bool Quarantine::has_new_crashes(const Record& record, const SuspectRequest& report) {
     if (record.ends > 0 || record.endpoints.empty())
         return true;
-    return std::any_of(told.endpoints.begin(), told.endpoints.end(),
-                       [&](const EndpointId& id) { return !names(record.endpoints, id); });
+    return std::any_of(report.endpoints.begin(), report.endpoints.end(),
+                       [&](const EndpointId& id) { return !has_endpoint(record.endpoints, id); });
 }
 
-// What is known of one end may come from several hosts, so counts are not added up.
-bool Quarantine::merge(const SuspectRequest& told, Time now) {
+// Several hosts may report the same crash, so the larger count is taken instead of the sum.
+bool Quarantine::merge(const SuspectRequest& report, Time now) {
     make_room();
-    Record& record = records_[told.content];
-    if (!tells_news(record, told))
+    Record& record = records_[report.content];
+    if (!has_new_crashes(record, report))
         return false;
-    if (told.ends > record.ends) {
-        record.ends = told.ends;
-        record.last_end = now;
+    if (report.ends > record.ends) {
+        record.ends = report.ends;
+        record.last_crash = now;
     }
-    for (const EndpointId& endpoint : told.endpoints)
-        if (!names(record.endpoints, endpoint))
-            add_name(record.endpoints, endpoint);
-    if (record.last_end == Time{})
-        record.last_end = now;
-    return told.left_ms > 0 && hold(record, now + std::chrono::milliseconds(told.left_ms), now);
+    for (const EndpointId& endpoint : report.endpoints)
+        if (!has_endpoint(record.endpoints, endpoint))
+            add_endpoint(record.endpoints, endpoint);
+    if (record.last_crash == Time{})
+        record.last_crash = now;
+    return report.left_ms > 0 &&
+           extend_quarantine(record, now + std::chrono::milliseconds(report.left_ms), now);
 }
 
 Duration Quarantine::left(const Fingerprint& content, Time now) const {
@@ -124,8 +128,8 @@
                       [&](const auto& item) { return item.second.until > now; }));
 }
 
-SuspectRequest Quarantine::told_of(const Fingerprint& content, const Record& record,
-                                   Time now) const {
+SuspectRequest Quarantine::to_suspect_request(const Fingerprint& content, const Record& record,
+                                              Time now) const {
     const Duration left = std::max(record.until - now, Duration::zero());
     return {content, record.ends, record.endpoints, static_cast<std::uint32_t>(to_millis(left))};
 }
@@ -133,31 +137,31 @@
 SuspectRequest Quarantine::suspicion(const Fingerprint& content, Time now) const {
     const auto found = records_.find(content);
     return found == records_.end() ? SuspectRequest{content, 0, {}, 0}
-                                   : told_of(content, found->second, now);
+                                   : to_suspect_request(content, found->second, now);
 }
 
 std::vector<SuspectRequest> Quarantine::suspects_to_send(Time now) const {
     std::vector<SuspectRequest> out;
     for (const auto& [content, record] : records_)
         if (record.ends > 1)
-            out.push_back(told_of(content, record, now));
+            out.push_back(to_suspect_request(content, record, now));
     return out;
 }
 
 void Quarantine::expire(Time now) {
     std::erase_if(records_, [&](const auto& item) {
-        return now > std::max(item.second.last_end, item.second.until) + Kept;
+        return now > std::max(item.second.last_crash, item.second.until) + RecordKept;
     });
 }
 
-// Who was with one end only goes first, and of those the one that it was longest ago for.
+// Removes the record with the fewest crashes, and the oldest one among these.
 void Quarantine::make_room() {
-    if (records_.size() < MostRecords)
+    if (records_.size() < MaxRecords)
         return;
     const auto least =
         std::min_element(records_.begin(), records_.end(), [](const auto& a, const auto& b) {
-            return std::pair(a.second.ends, a.second.last_end) <
-                   std::pair(b.second.ends, b.second.last_end);
+            return std::pair(a.second.ends, a.second.last_crash) <
+                   std::pair(b.second.ends, b.second.last_crash);
         });
     records_.erase(least);
 }
--- a/src/process/quarantine.h
+++ b/src/process/quarantine.h
@@ -1,3 +1,6 @@
+// Detects requests that crash endpoints and quarantines them.
+// Runs in liftweir-site-control and liftweir-site-entry.
+
 #ifndef QUARANTINE_H_INCLUDED
 #define QUARANTINE_H_INCLUDED
 
@@ -13,73 +16,75 @@
 
 namespace liftweir {
 
-// What one host tells another of a request that was cut off when endpoints ended.
+// What one host sends another about a request that was aborted when endpoints crashed.
 struct SuspectRequest {
     Fingerprint content;
-    std::uint32_t ends = 0;            // endpoints that ended while they had it
-    std::vector<EndpointId> endpoints; // those of them that are known by name
-    std::uint32_t left_ms = 0;         // for how much longer no endpoint gets it; 0: it may run
+    std::uint32_t ends = 0;            // endpoints that crashed while they had it
+    std::vector<EndpointId> endpoints; // the latest of these endpoints
+    std::uint32_t left_ms = 0;         // remaining quarantine; 0: the request may run
 
     auto operator<=>(const SuspectRequest&) const = default;
     MSGPACK_DEFINE(content, ends, endpoints, left_ms)
 };
 
-// A request that an endpoint broke off.
+// A request that an endpoint aborted.
 struct AbortedRequest {
     Fingerprint content;
-    std::uint32_t age_ms = 0; // since it was sent there
+    std::uint32_t age_ms = 0; // since it was sent to the endpoint
 
     auto operator<=>(const AbortedRequest&) const = default;
     MSGPACK_DEFINE(content, age_ms)
 };
 
-// So many endpoints in a row must have ended before a request is held back.
-constexpr std::uint32_t EndsToQuarantine = 3;
+// A request is quarantined after it has crashed this many endpoints without a complete answer in
+// between.
+constexpr std::uint32_t CrashesToQuarantine = 3;
 
-// For how long a request that has ended so many endpoints is held back; zero below
-// EndsToQuarantine.
+// Duration of the quarantine of a request that has crashed `ends` endpoints; zero below
+// CrashesToQuarantine.
 Duration quarantine_time(std::uint32_t ends);
 
-// Requests that ended the endpoints that had them, as one process knows them. A request is known by
-// what it asks, so that it is the same one in each try, under each id and at each entry host. Hosts
-// tell each other; in whatever order they do, all end up the same. Pure.
+// Requests that crashed endpoints, as one process knows them. A request is identified by its
+// content, so that it is recognised in each attempt, under each request id and at each entry host.
+// Hosts exchange their records; in whatever order these arrive, all hosts converge. Does no I/O.
 class Quarantine {
   public:
-    // The endpoint broke the request off. True where that puts it under quarantine.
-    bool aborted(const AbortedRequest& what, const EndpointId& endpoint, Time now);
-    // An endpoint has answered it whole, so it ends nobody. True where anything was held against
-    // it. Late words of the ends before change nothing any more.
+    // The endpoint aborted the request. Returns true where the request is quarantined by this.
+    bool aborted(const AbortedRequest& request, const EndpointId& endpoint, Time now);
+    // An endpoint has answered the request completely, so it crashes none. Returns true where
+    // crashes were recorded for it. Delayed reports of these crashes are ignored from then on.
     bool clear(const Fingerprint& content);
-    // Takes over what another host knows. True where that puts the request under quarantine.
-    bool merge(const SuspectRequest& told, Time now);
+    // Adds what another host knows. Returns true where the request is quarantined by this.
+    bool merge(const SuspectRequest& report, Time now);
 
-    // For how much longer no endpoint gets the request; zero where it may run.
+    // Remaining quarantine of the request; zero if it may run.
     Duration left(const Fingerprint& content, Time now) const;
-    // Anything is held against it.
+    // True if crashes are recorded for the request.
     bool is_suspect(const Fingerprint& content) const;
     bool empty() const { return records_.empty(); }
     std::size_t size() const { return records_.size(); }
-    // How many are held back.
+    // Number of requests in quarantine.
     std::size_t held(Time now) const;
-    // What is known of the request; no ends where nothing is.
+    // What is known about the request; zero `ends` if nothing is.
     SuspectRequest suspicion(const Fingerprint& content, Time now) const;
-    // What other hosts should know: requests that ended more than one endpoint.
+    // Requests to report to other hosts: those that crashed more than one endpoint.
     std::vector<SuspectRequest> suspects_to_send(Time now) const;
-    // Forgets what has ended nobody for long.
+    // Forgets requests that have not crashed an endpoint for long.
     void expire(Time now);
 
   private:
     struct Record {
-        std::uint32_t ends = 0;            // since the last whole answer
-        std::vector<EndpointId> endpoints; // the latest ones, those before the answer too
-        Time last_end{};
-        Time until{}; // held back
+        std::uint32_t ends = 0;            // crashes since the last complete answer
+        std::vector<EndpointId> endpoints; // the latest ones, also from before the answer
+        Time last_crash{};
+        Time until{}; // end of the quarantine
     };
 
-    static bool tells_news(const Record& record, const SuspectRequest& told);
-    static bool is_of_one_cause(const Record& record, const AbortedRequest& what, Time now);
-    SuspectRequest told_of(const Fingerprint& content, const Record& record, Time now) const;
-    bool hold(Record& record, Time until, Time now);
+    static bool has_new_crashes(const Record& record, const SuspectRequest& report);
+    static bool has_common_cause(const Record& record, const AbortedRequest& request, Time now);
+    SuspectRequest to_suspect_request(const Fingerprint& content, const Record& record,
+                                      Time now) const;
+    bool extend_quarantine(Record& record, Time until, Time now);
     void make_room();
 
     std::map<Fingerprint, Record> records_;
--- a/src/process/registry.cpp
+++ b/src/process/registry.cpp
@@ -1,3 +1,6 @@
+// Merges reports of endpoints and resolves conflicts over an address; runs in liftweir-site-control
+// and liftweir-site-entry.
+
 #include "process/registry.h"
 
 #include "connection/codec.h"
@@ -11,19 +14,21 @@
 
 namespace {
 
-// An ended endpoint is remembered longer than any delayed report of it can travel.
+// An endpoint that is gone is remembered for longer than a report of it can be delayed.
 constexpr Duration GoneKept = std::chrono::seconds(60);
-// A silent endpoint may be cut off from control and still serve. Cuts last seconds to a minute.
+// An unresponsive endpoint may be partitioned from control and still serve. Partitions last seconds
+// to a minute.
 constexpr Duration SilentKept = std::chrono::seconds(120);
-// Where an address answers nobody, one that reports over at least a beat takes the place of one
-// that has missed two and some.
-constexpr Duration GoesOnReporting = std::chrono::milliseconds(1000);
-constexpr Duration HolderSilent = std::chrono::milliseconds(3000);
-// An address is asked again about an endpoint in doubt.
-constexpr Duration DoubtKept = std::chrono::seconds(5); // four beats
-constexpr Duration AskEvery = std::chrono::milliseconds(400);
-
-// Of the form ip:port, to be connected to.
+// If an address check gets no answer, an unconfirmed endpoint that has been reporting for about one
+// heartbeat interval (1.2 s) replaces one that has missed more than two.
+constexpr Duration MinReportingTime = std::chrono::milliseconds(1000);
+constexpr Duration HolderSilentTime = std::chrono::milliseconds(3000);
+// How long an unconfirmed endpoint is kept after its last report, and how often its address is
+// checked.
+constexpr Duration ConflictKept = std::chrono::seconds(5); // four heartbeat intervals
+constexpr Duration AddressCheckInterval = std::chrono::milliseconds(400);
+
+// True for an address of the form ip:port that can be connected to.
 bool is_address(const std::string& text) {
     const auto digits = std::string_view(text).substr(text.rfind(':') + 1);
     const auto parsed = parse_address(text);
@@ -115,9 +120,10 @@
     return id.name == name ? &item : nullptr;
 }
 
-// Asked at each first word of an endpoint: a walk over all of them took most of the processor share
-// of every host while 3,000 registered (9 million comparisons).
-const Registry::Item* Registry::standing(const std::string& address,
+// Called for the first report of each endpoint. Without the index by address, a scan of all
+// endpoints took most of every host's processor share while 3,000 registered (9 million
+// comparisons).
+const Registry::Item* Registry::occupant(const std::string& address,
                                          const EndpointId& other_than) const {
     const auto [first, last] = by_address_.equal_range(address);
     const Item* found = nullptr;
@@ -137,23 +143,23 @@
         return false;
     const Item* last = latest(report.id.name);
     return (last != nullptr && report.id.started_before(last->report.id)) ||
-           standing(report.address, report.id) != nullptr;
+           occupant(report.address, report.id) != nullptr;
 }
 
 void Registry::forget(const EndpointId& id) {
     drop(id);
-    doubts_.erase(id);
+    conflicts_.erase(id);
 }
 
 // ---- items and their digest
 
-// Each control host compares digests with every other host all the time: kept as a sum, a digest
-// costs one hash for each change.
-void Registry::changed(Item& item) {
+// Control hosts compare digests with all other hosts continuously. A digest that is kept as a sum
+// costs one hash per change.
+void Registry::update_indexes(Item& item) {
     index_.put(item.report);
     add_to_digests(item.report.id.name, 0 - item.digest);
     item.digest = 0;
-    // Endpoints that are gone are left out: each side forgets them at its own time.
+    // Endpoints that are gone are left out, since each host forgets them at its own time.
     if (item.report.phase != EndpointPhase::Gone) {
         EndpointReport content = item.report;
         content.sequence = 0;
@@ -163,7 +169,7 @@
     add_to_digests(item.report.id.name, item.digest);
 }
 
-// Sums, modulo the word's size: what was added is taken away by its complement.
+// Digests are sums modulo 2^64: a contribution is removed by adding its two's complement.
 void Registry::add_to_digests(const std::string& name, std::uint64_t digest) {
     digest_ += digest;
     range_digests_[range_of(name)] += digest;
@@ -177,7 +183,7 @@
     drop(id);
     const auto placed = items_.emplace(id, std::move(item)).first;
     by_address_.emplace(placed->second.report.address, id);
-    changed(placed->second);
+    update_indexes(placed->second);
 }
 
 void Registry::drop(const EndpointId& id) {
@@ -193,54 +199,58 @@
     items_.erase(found);
 }
 
-// The first word of an endpoint that is not known. A remembered one is forgotten rather than ended:
-// it may be the one that lives. An earlier start under its own name casts no doubt on it.
-bool Registry::meet(EndpointReport report, Time heard) {
+// Handles the first report of an unknown endpoint. An endpoint at its address that is known
+// only from an endpoint cache is forgotten rather than ended, since it may be the live one. An
+// earlier incarnation under the same name does not make the new one unconfirmed.
+bool Registry::add_first_report(EndpointReport report, Time alive_at) {
     const Item* holder =
-        report.phase == EndpointPhase::Gone ? nullptr : standing(report.address, report.id);
+        report.phase == EndpointPhase::Gone ? nullptr : occupant(report.address, report.id);
     if (holder != nullptr && !holder->remembered && !holder->report.id.started_before(report.id))
-        return doubt(std::move(report), heard, *holder);
+        return conflict(std::move(report), alive_at, *holder);
     if (holder != nullptr && holder->remembered)
         drop(EndpointId(holder->report.id));
-    end_starts_before(report.id, heard);
-    doubts_.erase(report.id);
+    end_earlier_incarnations(report.id, alive_at);
+    conflicts_.erase(report.id);
     const EndpointId id = report.id;
-    put(id, Item{std::move(report), heard});
+    put(id, Item{std::move(report), alive_at});
     return true;
 }
 
-// Neither sequence nor order of arrival tells the newer start from the older one. Who goes on
-// reporting lives; what a cut held back comes all at once.
-bool Registry::doubt(EndpointReport report, Time heard, const Item& holder) {
+// Neither sequence numbers nor the order of arrival distinguish the newer incarnation from the
+// older one. An endpoint that keeps reporting is alive, while reports that a partition delayed
+// arrive all at once.
+bool Registry::conflict(EndpointReport report, Time alive_at, const Item& holder) {
     const EndpointId id = report.id;
-    Doubt& doubt = doubts_.try_emplace(id, Doubt{report, heard, heard, Time{}}).first->second;
-    if (report.sequence > doubt.report.sequence)
-        doubt.report = std::move(report);
-    doubt.first = std::min(doubt.first, heard);
-    doubt.heard = std::max(doubt.heard, heard);
-    const bool goes_on = doubt.heard - doubt.first >= GoesOnReporting;
-    if (hears_beats_ && goes_on && doubt.heard - holder.last_contact >= HolderSilent)
-        admit(id, holder.report.id, heard);
-    return false; // told by take_resolved()
+    Conflict& conflict =
+        conflicts_.try_emplace(id, Conflict{report, alive_at, alive_at, Time{}}).first->second;
+    if (report.sequence > conflict.report.sequence)
+        conflict.report = std::move(report);
+    conflict.first = std::min(conflict.first, alive_at);
+    conflict.alive_at = std::max(conflict.alive_at, alive_at);
+    const bool keeps_reporting = conflict.alive_at - conflict.first >= MinReportingTime;
+    if (receives_heartbeats_ && keeps_reporting &&
+        conflict.alive_at - holder.last_contact >= HolderSilentTime)
+        admit(id, holder.report.id, alive_at);
+    return false; // reported by take_resolved()
 }
 
-// What an ended start had, its name's next start has not: the endpoint and all that it held are
-// ended before the later one is known.
-void Registry::end_starts_before(const EndpointId& id, Time now) {
+// A later incarnation has nothing of what an earlier one held, so the earlier ones are ended, with
+// their memberships, before the later one is added.
+void Registry::end_earlier_incarnations(const EndpointId& id, Time now) {
     std::vector<EndpointId> ended;
     for (auto item = items_.lower_bound(EndpointId(id.name)); item != items_.end(); ++item) {
         if (!item->first.started_before(id))
             break;
         ended.push_back(item->first);
     }
-    for (const EndpointId& start : ended)
-        if (mark_gone(start, now))
-            settled_.push_back(start);
-    std::erase_if(doubts_, [&](const auto& pair) { return pair.first.started_before(id); });
+    for (const EndpointId& earlier : ended)
+        if (mark_gone(earlier, now))
+            resolved_.push_back(earlier);
+    std::erase_if(conflicts_, [&](const auto& pair) { return pair.first.started_before(id); });
 }
 
-// The word of a start that ended before another began under its name, or ended by a word that named
-// no start.
+// True for a report of an incarnation that is known to have ended: a later one has its name, or the
+// end was reported for the name without a start time.
 bool Registry::is_outdated(const EndpointReport& report) const {
     const Item* last = latest(report.id.name);
     if (last != nullptr && report.id.started_before(last->report.id))
@@ -249,80 +259,82 @@
         !last->report.id.has_start_time())
         return report.phase != EndpointPhase::Gone;
     return !items_.contains(report.id) &&
-           std::any_of(doubts_.begin(), doubts_.end(),
+           std::any_of(conflicts_.begin(), conflicts_.end(),
                        [&](const auto& pair) { return report.id.started_before(pair.first); });
 }
 
-// Who ends without naming its start ends the one that is known, unless that was heard of later.
-bool Registry::end_unnamed_start(const EndpointReport& report, Time heard) {
+// A report with phase Gone and without a start time ends the known incarnation, unless that one was
+// known to be alive later.
+bool Registry::end_without_start_time(const EndpointReport& report, Time alive_at) {
     const Item* last = latest(report.id.name);
-    if (last->last_contact > heard || last->report.phase == EndpointPhase::Gone)
+    if (last->last_contact > alive_at || last->report.phase == EndpointPhase::Gone)
         return false;
     const EndpointId id = last->report.id;
-    mark_gone(id, heard);
-    settled_.push_back(id);
-    return false; // told by take_resolved()
+    mark_gone(id, alive_at);
+    resolved_.push_back(id);
+    return false; // reported by take_resolved()
 }
 
-void Registry::admit(const EndpointId& id, const EndpointId& instead_of, Time now) {
-    const auto found = doubts_.find(id);
-    if (items_.contains(instead_of) && mark_gone(instead_of, now))
-        settled_.push_back(instead_of);
-    put(id, Item{std::move(found->second.report), found->second.heard});
-    doubts_.erase(found);
-    settled_.push_back(id);
+void Registry::admit(const EndpointId& id, const EndpointId& replaced_id, Time now) {
+    const auto found = conflicts_.find(id);
+    if (items_.contains(replaced_id) && mark_gone(replaced_id, now))
+        resolved_.push_back(replaced_id);
+    put(id, Item{std::move(found->second.report), found->second.alive_at});
+    conflicts_.erase(found);
+    resolved_.push_back(id);
 }
 
 std::vector<Registry::AddressCheck> Registry::take_address_checks(Time now) {
-    std::vector<AddressCheck> questions;
-    for (auto& [id, doubt] : doubts_) {
-        if (now < doubt.ask_due)
+    std::vector<AddressCheck> checks;
+    for (auto& [id, conflict] : conflicts_) {
+        if (now < conflict.check_due)
             continue;
-        doubt.ask_due = now + AskEvery;
-        const Item* holder = standing(doubt.report.address, id);
-        questions.push_back({doubt.report, holder == nullptr ? "" : holder->report.id});
+        conflict.check_due = now + AddressCheckInterval;
+        const Item* holder = occupant(conflict.report.address, id);
+        checks.push_back({conflict.report, holder == nullptr ? "" : holder->report.id});
     }
-    return questions;
+    return checks;
 }
 
-// Whoever stood when the question was put had registered before the answer came: its process has
-// ended. One that took the place meanwhile may be newer still. That another incarnation answers
-// ends nobody: it may be the older one, about to make room.
-void Registry::confirmed(const AddressCheck& question, Time now) {
-    const EndpointId& id = question.endpoint.id;
-    if (!doubts_.contains(id))
+// The endpoint that occupied the address when the check was taken had registered before the answer
+// came, so its process has ended. An endpoint that occupied the address after that may be newer
+// still and is left alone. An answer by another incarnation ends no endpoint: it may come from the
+// older one, shortly before it is replaced.
+void Registry::confirmed(const AddressCheck& check, Time now) {
+    const EndpointId& id = check.endpoint.id;
+    if (!conflicts_.contains(id))
         return;
-    const Item* holder = standing(question.endpoint.address, id);
-    if (holder == nullptr || holder->report.id == question.against)
-        admit(id, question.against, now);
+    const Item* holder = occupant(check.endpoint.address, id);
+    if (holder == nullptr || holder->report.id == check.against)
+        admit(id, check.against, now);
 }
 
-bool Registry::merge(EndpointReport report, Time heard) {
+bool Registry::merge(EndpointReport report, Time alive_at) {
     if (fault_of(report) != ReportFault::None)
         return false;
     const Item* last = latest(report.id.name);
     if (report.phase == EndpointPhase::Gone && !report.id.has_start_time() && last != nullptr &&
         last->report.id.has_start_time())
-        return end_unnamed_start(report, heard);
+        return end_without_start_time(report, alive_at);
     if (is_outdated(report))
         return false;
     const auto found = items_.find(report.id);
     if (found == items_.end())
-        return meet(std::move(report), heard);
+        return add_first_report(std::move(report), alive_at);
     Item& item = found->second;
     if (item.report.phase == EndpointPhase::Gone)
         return false;
     if (report.phase == EndpointPhase::Gone)
-        return mark_gone(report.id, heard);
+        return mark_gone(report.id, alive_at);
     if (report.sequence <= item.report.sequence || report.service != item.report.service ||
         report.address != item.report.address)
         return false;
-    item.last_contact = std::max(item.last_contact, heard);
+    item.last_contact = std::max(item.last_contact, alive_at);
     const bool is_change = !report.same_content(item.report);
     item.report = std::move(report);
     item.remembered = false;
     if (is_change)
-        changed(item);
+        update_indexes(item);
     return is_change;
 }
 
@@ -335,9 +347,9 @@
     return true;
 }
 
-// An endpoint in doubt leaves its id only: nobody has acted on what it said.
+// Of an unconfirmed endpoint only the id is kept, since nothing has acted on its report.
 bool Registry::mark_gone(const EndpointId& id, Time now) {
-    doubts_.erase(id);
+    conflicts_.erase(id);
     const auto found = items_.find(id);
     if (found == items_.end()) {
         EndpointReport unknown;
@@ -350,26 +362,27 @@
         return false;
     found->second.report.phase = EndpointPhase::Gone;
     found->second.last_contact = now;
-    changed(found->second);
+    update_indexes(found->second);
     return true;
 }
 
-// Another host may have heard of a change that is still on its way here.
+// May come from another host that has a newer report, which has not arrived here yet.
 void Registry::seen_alive(const EndpointId& id, Time now) {
     const auto found = items_.find(id);
     if (found != items_.end() && found->second.report.phase != EndpointPhase::Gone)
         found->second.last_contact = now;
-    const auto doubted = doubts_.find(id);
-    if (doubted == doubts_.end())
+    const auto unconfirmed = conflicts_.find(id);
+    if (unconfirmed == conflicts_.end())
         return;
-    doubted->second.heard = now;
-    const EndpointReport report = doubted->second.report;
-    if (const Item* holder = standing(report.address, id))
-        doubt(report, now, *holder);
+    unconfirmed->second.alive_at = now;
+    const EndpointReport report = unconfirmed->second.report;
+    if (const Item* holder = occupant(report.address, id))
+        conflict(report, now, *holder);
 }
 
 void Registry::expire(Time now) {
-    std::erase_if(doubts_, [&](const auto& pair) { return now - pair.second.heard > DoubtKept; });
+    std::erase_if(conflicts_,
+                  [&](const auto& pair) { return now - pair.second.alive_at > ConflictKept; });
     std::vector<EndpointId> old;
     for (const auto& [id, item] : items_) {
         const bool gone = item.report.phase == EndpointPhase::Gone;
--- a/src/process/registry.h
+++ b/src/process/registry.h
@@ -1,3 +1,6 @@
+// The endpoints that register themselves, as known to one process.
+// Runs in liftweir-site-control and liftweir-site-entry.
+
 #ifndef REGISTRY_H_INCLUDED
 #define REGISTRY_H_INCLUDED
 
@@ -18,33 +21,35 @@
 
 namespace liftweir {
 
-// How far a member is in its group, by its own word.
+// State of a member in its group, as the member reports it.
 enum class MemberState : std::uint8_t {
-    Joining, // loads or warms up
-    Ready,   // holds its part; the group is not in service
+    Joining, // loads the model or warms up
+    Ready,   // has loaded its part of the model; the group does not serve yet
     Open,    // the lead takes requests
-    Closing, // the lead finishes what it has
-    Broken   // stood still too long; the lead refuses everything
+    Closing, // the lead only finishes the requests it has
+    Broken   // was stalled for too long; the lead refuses all requests
 };
 
-// The state's word in the log.
+// The state's name in log messages.
 std::string_view name_of(MemberState state);
 
-// An endpoint's own word about the group that it belongs to.
+// The group that an endpoint belongs to, as the endpoint reports it.
 struct Membership {
     std::string group;
     Epoch epoch = NoEpoch;
-    std::uint32_t rank = 0; // 0 leads
+    std::uint32_t rank = 0; // 0 is the lead
     MemberState state = MemberState::Joining;
 
     auto operator<=>(const Membership&) const = default;
     MSGPACK_DEFINE(group, epoch, rank, state)
 };
 
-// Whether an endpoint takes requests, finishes what it has, or has ended.
+// Serving: takes requests. Draining: only finishes the requests it has. Gone: its process has
+// ended.
 enum class EndpointPhase : std::uint8_t { Serving, Draining, Gone };
 
-// What an endpoint says of itself when it registers. Later reports have higher sequences.
+// What an endpoint reports about itself when it registers. Later reports have higher sequence
+// numbers.
 struct EndpointReport {
     EndpointId id;
     std::string service;
@@ -53,150 +58,153 @@
     std::string domain; // fabric domain; empty for plain services
     EndpointPhase phase = EndpointPhase::Serving;
     std::uint32_t slots = 0;
-    std::vector<std::string> staged; // models whose weights lie on its host
-    Membership membership;           // epoch NoEpoch: in no group
+    std::vector<std::string> staged; // models whose weights are on the host's disk
+    Membership membership;           // epoch is NoEpoch outside a group
     std::uint64_t sequence = 0;
-    bool cold = false; // slow since its start, and bears less than later
+    bool cold = false; // still slow after its start, with less capacity than later
 
     auto operator<=>(const EndpointReport&) const = default;
     MSGPACK_DEFINE(id, service, address, zone, domain, phase, slots, staged, membership, sequence,
                    cold)
 
     bool grouped() const { return membership.epoch != NoEpoch; }
-    // Its group serves, and requests for it go to this endpoint.
+    // True for the lead of a group in service; requests for the group go to this endpoint.
     bool leads_open_group() const {
         return phase == EndpointPhase::Serving && grouped() && membership.rank == 0 &&
                membership.state == MemberState::Open;
     }
-    // Equal but for the sequence.
+    // Equal except for the sequence number.
     bool same_content(const EndpointReport& other) const;
 };
 
-// What is wrong with a report that an endpoint of ours can not have written.
+// Reasons to reject a report: no correct endpoint sends such a report.
 enum class ReportFault : std::uint8_t {
     None,
-    Unreadable, // no whole JSON object
-    Name,       // no name, or one that is no text
-    Start,      // a start that is no whole number
-    Service,    // no service, or none that the operators name
-    Address,    // no address of ip:port
-    Place,      // no zone, or a domain that is no text
-    Phase,      // neither serving nor draining
-    Slots,      // no number of places
-    Sequence,   // no number
-    Group,      // a membership, models or other figures of another form
-    Changed     // another service or address than this start had before
+    Unreadable, // not a complete JSON object
+    Name,       // the name is missing or not a string
+    Start,      // the start time is not a whole number
+    Service,    // the service is missing or not configured
+    Address,    // the address is not of the form ip:port
+    Place,      // the zone is missing, or the fabric domain is not a string
+    Phase,      // the phase is neither serving nor draining
+    Slots,      // the number of slots is missing
+    Sequence,   // the sequence number is missing
+    Group,      // the membership, the models or another value has the wrong form
+    Changed     // the service or address differs from earlier reports of this incarnation
 };
 
-// The fault's word in the log and in metrics.
+// The fault's name in log messages and metrics.
 std::string_view name_of(ReportFault fault);
 
-// The first fault of a report, from whomever it was taken over. One that has ended names only
-// itself.
+// The first fault of a report, whichever host it came from. A report with phase Gone needs a name
+// only.
 ReportFault fault_of(const EndpointReport& report);
 
-// Endpoints are spread over so many ranges by their names. With 3,000 endpoints a range holds 47,
-// of 200 bytes each; its digest costs 9 bytes.
+// Number of ranges over which endpoints are spread by a hash of their names. With 3,000 endpoints
+// a range holds 47 reports of 200 bytes each, and its digest costs 9 bytes on the wire.
 constexpr std::size_t RegistryRanges = 64;
 using RangeDigests = std::array<std::uint64_t, RegistryRanges>;
 
-// All endpoints that have registered, as one process knows them. Soft state: reports are merged
-// by their sequence, in any order and from any side, and every copy ends up the same.
+// All registered endpoints, as one process knows them. This is soft state: reports are merged by
+// their sequence numbers, in any order and from any host, and all copies converge.
 //
-// At most one endpoint that is not gone stands at an address. An id that is heard of first while
-// another stands there is in doubt: it may be a new start, or one that crashed long ago and whose
-// report was held back. It is shown to nobody until the other one is gone, its address has answered
-// for it, or the other one has fallen silent while it goes on reporting. An endpoint that is gone
-// stays so, and is ended by such a proof only, never by the order of arrival: hosts that have heard
-// the same end up the same. A later start under a name proves the end of the earlier ones, whose
-// words change nothing from then on.
+// At most one endpoint that is not gone occupies an address. If a new id reports an address that
+// another endpoint occupies, the new id is unconfirmed: it may be a new incarnation, or one that
+// crashed long ago and whose report was delayed. An unconfirmed endpoint is not visible to users of
+// the registry until the other one is gone, until the process at the address has confirmed the new
+// id, or until the other one is unresponsive while the new one keeps reporting. Only such evidence
+// ends an endpoint, never the order in which reports arrive, so that hosts with the same
+// information converge. An endpoint that is gone never returns. A later incarnation under the same
+// name proves that the earlier ones have ended; their reports are ignored from then on.
 //
-// A report that no endpoint of ours can have written changes nothing, whoever passes it on.
+// A report with a fault is ignored, whichever host passes it on.
 class Registry {
   public:
     struct Item {
         EndpointReport report;
-        Time last_contact{};      // last sign of life, from whichever side
-        bool remembered = false;  // known from before a restart only; anyone may take its place
-        std::uint64_t digest = 0; // of the report's content; zero where the endpoint is gone
+        Time last_contact{};      // when the endpoint was last known to be alive
+        bool remembered = false;  // only known from an endpoint cache; any endpoint may replace it
+        std::uint64_t digest = 0; // of the report's content; zero if the endpoint is gone
     };
 
-    // A question that the holder of the registry should put to an address.
+    // A request to ask the process at an address whether it is the unconfirmed endpoint.
     struct AddressCheck {
-        EndpointReport endpoint; // in doubt
-        EndpointId against;      // who stands at its address
+        EndpointReport endpoint; // unconfirmed
+        EndpointId against;      // the endpoint that occupies its address
 
         auto operator<=>(const AddressCheck&) const = default;
     };
 
-    // Whether all signs of life come in here, so that silence tells something. An entry host hears
-    // of changes only, and leaves it to control hosts to settle doubts.
-    explicit Registry(bool hears_beats = true) : hears_beats_(hears_beats) {}
-
-    // `heard` is when the endpoint showed the sign of life that the report stems from. True where
-    // the content changed; the change is then to be passed on, after those of take_resolved().
-    bool merge(EndpointReport report, Time heard);
-    // Adds what was known before a restart, unless something newer is known of the endpoint or of
-    // its address. True where it was added.
+    // `receives_heartbeats` is true where all registrations arrive, so that missing ones mean
+    // something. An entry host receives changes only and leaves unconfirmed endpoints to the
+    // control hosts.
+    explicit Registry(bool receives_heartbeats = true)
+        : receives_heartbeats_(receives_heartbeats) {}
+
+    // `alive_at` is when the endpoint was known to be alive and to send this report. Returns true
+    // where the content changed; the change must then be forwarded, after those of take_resolved().
+    bool merge(EndpointReport report, Time alive_at);
+    // Adds a cached report from before a restart, unless newer information about the endpoint or
+    // its address is known. Returns true where it was added.
     bool remember(const EndpointReport& report, Time now);
     void forget(const EndpointId& id);
-    // The endpoint has ended, or will without another word. Final.
+    // The endpoint has ended, or will end without another report. This is final.
     bool mark_gone(const EndpointId& id, Time now);
-    // A sign of life, without a report.
+    // The endpoint is known to be alive at `now`, without a new report.
     void seen_alive(const EndpointId& id, Time now);
-    // Endpoints in doubt whose addresses should be asked now.
+    // Address checks that are due for unconfirmed endpoints.
     std::vector<AddressCheck> take_address_checks(Time now);
-    // The endpoint in doubt has answered at its address, after the question was taken.
-    void confirmed(const AddressCheck& question, Time now);
-    // Endpoints whose standing changed by another's report or by an answer, since the last call.
-    // Those that ended come before those that took their places.
-    std::vector<EndpointId> take_resolved() { return std::exchange(settled_, {}); }
-    // Forgets endpoints that are gone or have been silent for long.
+    // The process at the address confirmed the unconfirmed endpoint after the check was taken.
+    void confirmed(const AddressCheck& check, Time now);
+    // Endpoints that ended or became visible since the last call because of another endpoint's
+    // report or of an address check. Those that ended come before those that replace them.
+    std::vector<EndpointId> take_resolved() { return std::exchange(resolved_, {}); }
+    // Removes endpoints that have been gone or unresponsive for long.
     void expire(Time now);
 
     const std::map<EndpointId, Item>& items() const { return items_; }
-    // The same endpoints by what requests ask for.
+    // The same endpoints, indexed by what requests ask for.
     const EndpointIndex& index() const { return index_; }
-    // Null where the endpoint is not known.
+    // Null if the endpoint is not known.
     const Item* find(const EndpointId& id) const;
-    // The latest start under the name; null where none is known.
+    // The latest incarnation under the name; null if none is known.
     const Item* latest(const std::string& name) const;
-    // The endpoint that stands at the address, but for `other_than`; null where none does.
-    const Item* standing(const std::string& address, const EndpointId& other_than) const;
-    // The endpoint is gone, and another incarnation has its name or its address.
+    // The endpoint other than `other_than` that occupies the address; null if there is none.
+    const Item* occupant(const std::string& address, const EndpointId& other_than) const;
+    // True if the endpoint is gone and another incarnation has its name or its address.
     bool replaced(const EndpointReport& report) const;
-    // Two registries of equal digest hold the same content.
+    // Registries with equal digests have the same content.
     std::uint64_t digest() const { return digest_; }
-    // The same of each range of names.
+    // The digest of each range of names.
     const RangeDigests& range_digests() const { return range_digests_; }
     static std::size_t range_of(const std::string& name);
 
   private:
-    // An id that is new here, at an address where another stands.
-    struct Doubt {
+    // An unconfirmed endpoint: its id is new here and another one occupies its address.
+    struct Conflict {
         EndpointReport report;
-        Time first{}; // first and last sign of life
-        Time heard{};
-        Time ask_due{};
+        Time first{}; // first and last time it was known to be alive
+        Time alive_at{};
+        Time check_due{};
     };
 
-    bool meet(EndpointReport report, Time heard);
+    bool add_first_report(EndpointReport report, Time alive_at);
     bool is_outdated(const EndpointReport& report) const;
-    bool end_unnamed_start(const EndpointReport& report, Time heard);
-    void end_starts_before(const EndpointId& id, Time now);
-    bool doubt(EndpointReport report, Time heard, const Item& holder);
-    void admit(const EndpointId& id, const EndpointId& instead_of, Time now);
+    bool end_without_start_time(const EndpointReport& report, Time alive_at);
+    void end_earlier_incarnations(const EndpointId& id, Time now);
+    bool conflict(EndpointReport report, Time alive_at, const Item& holder);
+    void admit(const EndpointId& id, const EndpointId& replaced_id, Time now);
     void put(const EndpointId& id, Item item);
     void drop(const EndpointId& id);
-    void changed(Item& item);
+    void update_indexes(Item& item);
     void add_to_digests(const std::string& name, std::uint64_t digest);
 
-    bool hears_beats_;
+    bool receives_heartbeats_;
     std::map<EndpointId, Item> items_;
-    std::multimap<std::string, EndpointId> by_address_; // of all items, ended ones too
+    std::multimap<std::string, EndpointId> by_address_; // all items, including those that are gone
     EndpointIndex index_;
-    std::map<EndpointId, Doubt> doubts_;
-    std::vector<EndpointId> settled_;
+    std::map<EndpointId, Conflict> conflicts_;
+    std::vector<EndpointId> resolved_;
     std::uint64_t digest_ = 0; // sum over all items
     RangeDigests range_digests_{};
 };
--- a/src/process/registryrepair.cpp
+++ b/src/process/registryrepair.cpp
@@ -1,3 +1,5 @@
+// Comparison of registry digests; runs in liftweir-site-control and liftweir-site-entry.
+
 #include "process/registryrepair.h"
 
 #include <algorithm>
@@ -7,16 +9,16 @@
 
 namespace {
 
-// A copy that was asked for is here by then, over a slow link too.
-constexpr Duration AskEvery = std::chrono::milliseconds(500);
-// Keeps a message short enough to leave heartbeats their place on the link.
-constexpr std::size_t ReportsInPart = 256;
+// A requested copy arrives within this time, over a slow link too.
+constexpr Duration RequestInterval = std::chrono::milliseconds(500);
+// Keeps a message short enough that heartbeats are not delayed on the link.
+constexpr std::size_t MaxReportsPerPart = 256;
 
 } // namespace
 
-// While hosts register, start or form groups, changes are under way all the time, and two
-// registries are hardly ever equal. Only ranges that differ and have not changed on either side
-// since the last comparison lack something.
+// While endpoints register, start or form groups, changes are in flight all the time and two
+// registries are hardly ever equal. Only a range that differs and has not changed on either side
+// since the last comparison really lacks reports.
 std::vector<std::uint32_t> RegistryRepair::compare(const std::string& host,
                                                    const RangeDigests& theirs,
                                                    const RangeDigests& ours, bool trusted,
@@ -27,44 +29,45 @@
     for (std::uint32_t range = 0; range < RegistryRanges; ++range) {
         if (theirs[range] == ours[range])
             continue;
-        const bool settled = seen != seen_.end() && seen->second.theirs[range] == theirs[range] &&
-                             seen->second.ours[range] == ours[range];
-        if (at_once || settled)
+        const bool unchanged = seen != seen_.end() && seen->second.theirs[range] == theirs[range] &&
+                               seen->second.ours[range] == ours[range];
+        if (at_once || unchanged)
             wanted.push_back(range);
     }
     seen_[host] = {theirs, ours};
-    if (wanted.empty() || !may_ask(now))
+    if (wanted.empty() || !may_request(now))
         return {};
-    asked_ = now;
+    last_request_ = now;
     return wanted;
 }
 
-bool RegistryRepair::may_ask(Time now) const {
-    return asked_ == Time{} || now - asked_ >= AskEvery;
+bool RegistryRepair::may_request(Time now) const {
+    return last_request_ == Time{} || now - last_request_ >= RequestInterval;
 }
 
-// Hosts whose last digest of the range was this one.
-std::size_t RegistryRepair::tellers(std::uint32_t range, std::uint64_t digest) const {
+// Number of hosts whose last digest of the range was this one.
+std::size_t RegistryRepair::hosts_with_digest(std::uint32_t range, std::uint64_t digest) const {
     return static_cast<std::size_t>(
         std::count_if(seen_.begin(), seen_.end(),
                       [&](const auto& pair) { return pair.second.theirs[range] == digest; }));
 }
 
-// The host that it asked first may have just begun as well, and the links over which others told
-// what they heard were not up yet. Digests come once a second at the most, and must differ twice:
-// so it lacked endpoints for over a second, and refused its callers.
-std::optional<RangesToAsk> RegistryRepair::agreed_ranges(const RangeDigests& ours, Time now) {
-    if (!may_ask(now))
+// The host that a newly started host asks first may have just started as well, before the links
+// were up on which others send their changes. Digests arrive at most once a second and must differ
+// twice, so without this check the newcomer lacked endpoints and refused callers for over a second.
+std::optional<RangesToRequest> RegistryRepair::agreed_ranges(const RangeDigests& ours, Time now) {
+    if (!may_request(now))
         return std::nullopt;
     for (const auto& [host, seen] : seen_) {
-        RangesToAsk ask{host, {}};
+        RangesToRequest request{host, {}};
         for (std::uint32_t range = 0; range < RegistryRanges; ++range)
-            if (seen.theirs[range] != ours[range] && tellers(range, seen.theirs[range]) > 1)
-                ask.ranges.push_back(range);
-        if (ask.ranges.empty())
+            if (seen.theirs[range] != ours[range] &&
+                hosts_with_digest(range, seen.theirs[range]) > 1)
+                request.ranges.push_back(range);
+        if (request.ranges.empty())
             continue;
-        asked_ = now;
-        return ask;
+        last_request_ = now;
+        return request;
     }
     return std::nullopt;
 }
@@ -78,7 +81,7 @@
             if ((item.report.phase == EndpointPhase::Gone) != ended ||
                 !wanted.contains(Registry::range_of(id.name)))
                 continue;
-            if (parts.empty() || parts.back().reports.size() == ReportsInPart)
+            if (parts.empty() || parts.back().reports.size() == MaxReportsPerPart)
                 parts.emplace_back();
             parts.back().reports.push_back(item.report);
             parts.back().silent_ms.push_back(
--- a/src/process/registryrepair.h
+++ b/src/process/registryrepair.h
@@ -1,3 +1,6 @@
+// Finds differences between the registries of two hosts and requests the missing reports.
+// Runs in liftweir-site-control and liftweir-site-entry.
+
 #ifndef REGISTRYREPAIR_H_INCLUDED
 #define REGISTRYREPAIR_H_INCLUDED
 
@@ -14,24 +17,27 @@
 
 namespace liftweir {
 
-// Ranges of a host's registry that should be asked for.
-struct RangesToAsk {
+// Ranges of a host's registry that should be requested from it.
+struct RangesToRequest {
     std::string host;
     std::vector<std::uint32_t> ranges;
 
-    auto operator<=>(const RangesToAsk&) const = default;
+    auto operator<=>(const RangesToRequest&) const = default;
 };
 
-// Decides which ranges of its registry a host asks others for, where theirs differ. Pure.
+// Decides which ranges of its registry a host requests from other hosts whose digests differ.
+// Does no I/O.
 class RegistryRepair {
   public:
-    // Another host's digests have come. Ranges to ask it for; none where what is under way may mend
-    // the difference, or another host was asked just now. `trusted` is who is asked at first.
+    // Compares another host's digests with the own ones. Returns the ranges to request from it;
+    // none where messages in flight may remove the difference, or where a request was sent just
+    // now. The first digests of a `trusted` host are acted on at once.
     std::vector<std::uint32_t> compare(const std::string& host, const RangeDigests& theirs,
                                        const RangeDigests& ours, bool trusted, Time now);
-    // For a host that has just begun: what others agree upon it asks for as soon as it may.
-    std::optional<RangesToAsk> agreed_ranges(const RangeDigests& ours, Time now);
-    // The link to the host is new: what was seen of it before tells nothing.
+    // For a host that has just started: ranges to request in which at least two other hosts agree
+    // with each other and differ from this host.
+    std::optional<RangesToRequest> agreed_ranges(const RangeDigests& ours, Time now);
+    // The link to the host is new, so its earlier digests are obsolete.
     void forget(const std::string& host) { seen_.erase(host); }
 
   private:
@@ -40,15 +46,15 @@
         RangeDigests ours{};
     };
 
-    bool may_ask(Time now) const;
-    std::size_t tellers(std::uint32_t range, std::uint64_t digest) const;
+    bool may_request(Time now) const;
+    std::size_t hosts_with_digest(std::uint32_t range, std::uint64_t digest) const;
 
     std::map<std::string, Seen> seen_; // at the last comparison
-    Time asked_{};
+    Time last_request_{};
 };
 
-// The reports of some ranges in parts that leave a link free for other messages in between; those
-// that have ended come first. `silent_ms` is counted from now.
+// The reports of some ranges, in parts that are small enough to let other messages pass on a link.
+// Endpoints that are gone come first. `silent_ms` is the time since each was known to be alive.
 struct RangeCopy {
     std::vector<EndpointReport> reports;
     std::vector<std::uint32_t> silent_ms;
--- a/src/process/reportedlimits.cpp
+++ b/src/process/reportedlimits.cpp
@@ -1,3 +1,5 @@
+// Merges limits reported by endpoints; runs in liftweir-site-control and liftweir-site-entry.
+
 #include "process/reportedlimits.h"
 
 #include <algorithm>
@@ -6,11 +8,11 @@
 
 namespace {
 
-// A word of another process seems younger than it is by its time on the way. The end of a limit is
-// believed only where this can not matter.
-constexpr Duration LongestTransit = std::chrono::milliseconds(500);
-// Late copies of the limit may arrive for so long after its end.
-constexpr Duration EndKept = std::chrono::seconds(30);
+// A report from another process seems younger than it is by its transit time. The end of a limit is
+// accepted only if it is newer than the known limit even after this transit time.
+constexpr Duration MaxTransitTime = std::chrono::milliseconds(500);
+// Delayed reports of a limit may arrive for this long after its end.
+constexpr Duration EndedLimitKept = std::chrono::seconds(30);
 
 } // namespace
 
@@ -22,17 +24,18 @@
         return per_second > 0;
     }
     Entry& entry = found->second;
-    if (sent < entry.said)
+    if (sent < entry.reported_at)
         return false;
     const bool changes = entry.per_second != per_second;
     entry = {per_second, sent};
     return changes;
 }
 
-bool ReportedLimits::merge(const LimitReport& word, Time now) {
-    const Time said = now - std::chrono::milliseconds(word.age_ms);
-    const bool ends = word.per_second <= 0;
-    return add_report(word.endpoint, word.per_second, ends ? said - LongestTransit : said);
+bool ReportedLimits::merge(const LimitReport& report, Time now) {
+    const Time reported_at = now - std::chrono::milliseconds(report.age_ms);
+    const bool ends = report.per_second <= 0;
+    return add_report(report.endpoint, report.per_second,
+                      ends ? reported_at - MaxTransitTime : reported_at);
 }
 
 double ReportedLimits::limit(const EndpointId& endpoint) const {
@@ -49,16 +52,16 @@
 std::vector<LimitReport> ReportedLimits::reports(Time now) const {
     std::vector<LimitReport> reports;
     for (const auto& [endpoint, entry] : entries_)
-        reports.push_back(
-            {endpoint, entry.per_second, static_cast<std::uint32_t>(to_millis(now - entry.said))});
+        reports.push_back({endpoint, entry.per_second,
+                           static_cast<std::uint32_t>(to_millis(now - entry.reported_at))});
     return reports;
 }
 
-// A limit holds for as long as its endpoint lives: forgotten sooner, all entry hosts would send
-// their next requests at once.
+// A limit is kept for as long as its endpoint exists. If it were forgotten sooner, all entry hosts
+// would send their next requests at once.
 void ReportedLimits::expire(const std::function<bool(const EndpointId&)>& known, Time now) {
     std::erase_if(entries_, [&](const auto& item) {
-        const bool old = now - item.second.said > EndKept;
+        const bool old = now - item.second.reported_at > EndedLimitKept;
         return old && (item.second.per_second <= 0 || !known(item.first));
     });
 }
--- a/src/process/reportedlimits.h
+++ b/src/process/reportedlimits.h
@@ -1,3 +1,6 @@
+// The request rate limits that endpoints report, as known to one process.
+// Runs in liftweir-site-control and liftweir-site-entry.
+
 #ifndef REPORTEDLIMITS_H_INCLUDED
 #define REPORTEDLIMITS_H_INCLUDED
 
@@ -13,39 +16,40 @@
 
 namespace liftweir {
 
-// How many requests a second an endpoint takes from all entry hosts together, by its own word.
+// The requests per second that an endpoint reports to accept from all entry hosts together.
 struct LimitReport {
     EndpointId endpoint;
-    double per_second = 0;    // 0: it names no limit
-    std::uint32_t age_ms = 0; // since the request was sent that it answered so
+    double per_second = 0;    // 0: no limit
+    std::uint32_t age_ms = 0; // since the request was sent whose answer carried the limit
 
     auto operator<=>(const LimitReport&) const = default;
     MSGPACK_DEFINE(endpoint, per_second, age_ms)
 };
 
-// The newest word of each endpoint about its limit, as one process knows it. Words are ordered by
-// when the requests were sent that they answer. Pure.
+// The newest limit that each endpoint has reported. Reports are ordered by the time when the
+// answered request was sent. Does no I/O.
 class ReportedLimits {
   public:
-    // An answer to a request of this process. True where it changes the limit.
+    // Adds the limit in the answer to a request that this process sent at `sent`. Returns true
+    // where the limit changes.
     bool add_report(const EndpointId& endpoint, double per_second, Time sent);
-    // Another process's word. True where it changes the limit.
-    bool merge(const LimitReport& word, Time now);
+    // Adds a report from another process. Returns true where the limit changes.
+    bool merge(const LimitReport& report, Time now);
 
-    // Requests a second; zero where the endpoint names no limit.
+    // Requests per second; zero if the endpoint has no limit.
     double limit(const EndpointId& endpoint) const;
-    // How many endpoints name a limit.
+    // Number of endpoints with a limit.
     std::size_t limited() const;
     bool empty() const { return entries_.empty(); }
-    // All that is known, limits that have ended lately included.
+    // All reports, including those of limits that have ended recently.
     std::vector<LimitReport> reports(Time now) const;
-    // Forgets endpoints for which `known` is false, and limits that ended long ago.
+    // Removes endpoints for which `known` is false, and limits that ended long ago.
     void expire(const std::function<bool(const EndpointId&)>& known, Time now);
 
   private:
     struct Entry {
         double per_second = 0;
-        Time said{};
+        Time reported_at{};
     };
 
     std::map<EndpointId, Entry> entries_;
--- a/tests/unit/endpointcachefile_test.cpp
+++ b/tests/unit/endpointcachefile_test.cpp
@@ -1,3 +1,5 @@
+// Tests of the endpoint cache on a control host's disk.
+
 #include "process/endpointcachefile.h"
 #include "unit/memstorage.h"
 
@@ -21,8 +23,8 @@
     return report;
 }
 
-// The write is done by another thread.
-std::vector<EndpointReport> kept(const std::shared_ptr<Storage>& storage) {
+// Waits for the write, which another thread does.
+std::vector<EndpointReport> written(const std::shared_ptr<Storage>& storage) {
     for (int i = 0; i < 200; ++i) {
         auto reports = EndpointCacheFile(storage).load();
         if (!reports.empty())
@@ -32,31 +34,31 @@
     return {};
 }
 
-TEST(EndpointCacheFile, KeepsWhoServesAndWasHeardLately) {
+TEST(EndpointCacheFile, KeepsServingEndpointsWithRecentContact) {
     auto folder = open_folder(testing::TempDir() + "/roster-keeps");
     ASSERT_TRUE(folder);
     const std::shared_ptr<Storage> storage = std::move(*folder);
-    EndpointCacheFile roster(storage);
-    EXPECT_TRUE(roster.load().empty());
+    EndpointCacheFile cached(storage);
+    EXPECT_TRUE(cached.load().empty());
     Registry registry;
     registry.merge(endpoint("heard"), Start);
     registry.merge(endpoint("silent"), Start - std::chrono::seconds(9));
     registry.merge(endpoint("leaving", EndpointPhase::Draining), Start);
-    roster.keep(registry, Start - std::chrono::seconds(2));
-    const auto reports = kept(storage);
+    cached.keep(registry, Start - std::chrono::seconds(2));
+    const auto reports = written(storage);
     ASSERT_EQ(reports.size(), 1u);
     EXPECT_EQ(reports.front().id, "heard");
-    EXPECT_EQ(reports.front().sequence, 0u); // any word of its own goes before it
+    EXPECT_EQ(reports.front().sequence, 0u); // so that any report of the endpoint takes precedence
     ASSERT_TRUE(storage->remove("endpoints"));
 }
 
-TEST(EndpointCacheFile, AFileThatCanNotBeReadIsLikeNone) {
+TEST(EndpointCacheFile, AnUnreadableFileIsIgnored) {
     const auto storage = std::make_shared<MemStorage>();
     ASSERT_TRUE(storage->replace("endpoints", "\xff\x00 not a roster"));
     EXPECT_TRUE(EndpointCacheFile(storage).load().empty());
 }
 
-// Refuses the first writes, as a full disk does for a while.
+// Fails the first writes, like a disk that is full for a while.
 class FullForAWhile final : public MemStorage {
   public:
     explicit FullForAWhile(int writes) : left_(writes) {}
@@ -68,13 +70,13 @@
     std::atomic<int> left_;
 };
 
-TEST(EndpointCacheFile, AWriteThatFailsIsTriedAgainThoughNothingChanges) {
+TEST(EndpointCacheFile, RetriesAFailedWriteWithoutFurtherChanges) {
     const auto storage = std::make_shared<FullForAWhile>(2);
-    EndpointCacheFile roster(storage);
+    EndpointCacheFile cached(storage);
     Registry registry;
     registry.merge(endpoint("heard"), Start);
-    roster.keep(registry, Start);
-    const auto reports = kept(storage);
+    cached.keep(registry, Start);
+    const auto reports = written(storage);
     ASSERT_EQ(reports.size(), 1u);
     EXPECT_EQ(reports.front().id, "heard");
 }
--- a/tests/unit/registry_test.cpp
+++ b/tests/unit/registry_test.cpp
@@ -1,4 +1,5 @@
-// Two starts at one address, and reports that a cut held back, as several hosts hear of them.
+// Tests of the endpoint registry: two incarnations at one address, and reports that a network
+// partition delayed, as several hosts receive them.
 
 #include "process/registry.h"
 
@@ -34,19 +35,19 @@
     return item != nullptr && item->report.phase == EndpointPhase::Serving;
 }
 
-bool stands(const Registry& registry, const EndpointId& id) {
+bool is_present(const Registry& registry, const EndpointId& id) {
     const Registry::Item* item = registry.find(id);
     return item != nullptr && item->report.phase != EndpointPhase::Gone;
 }
 
-// A full copy, as a host whose digest differs is sent one.
+// A full copy, as sent to a host whose digest differs.
 void copy(const Registry& from, Registry& to) {
     const auto items = from.items();
     for (const auto& [id, item] : items)
         to.merge(item.report, item.last_contact);
 }
 
-TEST(LateReport, ADeadStartThatIsHeardOfLateEndsNobody) {
+TEST(DelayedReport, ADelayedReportOfAnEndedIncarnationEndsNone) {
     for (const EndpointPhase phase : {EndpointPhase::Serving, EndpointPhase::Draining})
         for (const std::string service : {"llm", "app"}) {
             Registry registry;
@@ -56,23 +57,23 @@
             late.membership = {"small.1", 7, 0, MemberState::Open};
             EXPECT_FALSE(registry.merge(late, Start + milliseconds(300)));
             EXPECT_TRUE(serves(registry, "living"));
-            EXPECT_FALSE(stands(registry, "dead"));
+            EXPECT_FALSE(is_present(registry, "dead"));
         }
 }
 
-// The older start's word of its own end is no word of the newer one's.
-TEST(LateReport, ADeadStartThatDeregistersLateEndsOnlyItself) {
+// The older incarnation deregisters, which must not end the newer one.
+TEST(DelayedReport, ADelayedDeregistrationEndsOnlyItsIncarnation) {
     Registry registry;
     registry.merge(report_of("living", 1), Start);
     registry.mark_gone("dead", Start);
     EXPECT_TRUE(serves(registry, "living"));
     EXPECT_FALSE(registry.merge(report_of("dead", 3), Start));
-    EXPECT_FALSE(stands(registry, "dead"));
+    EXPECT_FALSE(is_present(registry, "dead"));
 }
 
-// Reports of two starts at one address: the older one's come in any order at any hosts, on time or
-// held back, together. No probe is answered. The newer one goes on reporting.
-class TwoStarts {
+// Reports of two incarnations at one address. Those of the older one arrive in any order at any
+// hosts, on time or delayed together. No address check is answered. The newer one keeps reporting.
+class TwoIncarnations {
   public:
     void arrive_old(Time now) {
         const auto at = *rc::gen::inRange<std::size_t>(0, Hosts);
@@ -84,28 +85,28 @@
     void arrive_new(Time now) {
         const auto at = *rc::gen::inRange<std::size_t>(0, Hosts);
         hosts[at].merge(report_of("new", ++sequence_, service_), now);
-        note();
+        check_invariants();
     }
-    // What one host learns reaches the others, in any order, some of it twice.
+    // What one host has received reaches the others, in any order, some of it twice.
     void exchange() {
         const auto first = *rc::gen::inRange<std::size_t>(0, Hosts);
         for (std::size_t n = 0; n < 2 * Hosts; ++n) {
             copy(hosts[(first + n) % Hosts], hosts[(first + n + 1) % Hosts]);
-            note();
+            check_invariants();
         }
     }
-    // Whom a host once took the newer start for, it takes it for ever.
-    void note() {
+    // A host that has accepted the newer incarnation never drops it, and never shows both.
+    void check_invariants() {
         for (std::size_t n = 0; n < Hosts; ++n) {
-            RC_ASSERT(!stood_[n] || serves(hosts[n], "new"));
-            stood_[n] = stood_[n] || serves(hosts[n], "new");
-            RC_ASSERT(!stands(hosts[n], "old") || !stands(hosts[n], "new"));
+            RC_ASSERT(!served_[n] || serves(hosts[n], "new"));
+            served_[n] = served_[n] || serves(hosts[n], "new");
+            RC_ASSERT(!is_present(hosts[n], "old") || !is_present(hosts[n], "new"));
         }
     }
     void check() {
         for (const Registry& host : hosts) {
             RC_ASSERT(serves(host, "new"));
-            RC_ASSERT(!stands(host, "old"));
+            RC_ASSERT(!is_present(host, "old"));
             RC_ASSERT(host.digest() == hosts[0].digest());
         }
     }
@@ -115,59 +116,59 @@
   private:
     std::string service_ = *rc::gen::element<std::string>("llm", "app");
     std::uint64_t sequence_ = 0;
-    std::array<bool, Hosts> stood_{};
+    std::array<bool, Hosts> served_{};
 };
 
-RC_GTEST_PROP(LateReport, HostsAgreeOnTheStartThatGoesOnReporting, ()) {
-    TwoStarts starts;
+RC_GTEST_PROP(DelayedReport, HostsAgreeOnTheIncarnationThatKeepsReporting, ()) {
+    TwoIncarnations incarnations;
     Time now = Start;
     for (int n = *rc::gen::inRange(0, 3); n > 0; --n)
-        starts.arrive_old(now);
+        incarnations.arrive_old(now);
     if (*rc::gen::arbitrary<bool>())
-        starts.exchange();
-    const int held_until = *rc::gen::inRange(0, 3);
+        incarnations.exchange();
+    const int delayed_until = *rc::gen::inRange(0, 3);
     for (int beat = 0; beat < 8; ++beat) {
         now += Beat;
-        starts.arrive_new(now);
-        for (int n = beat == held_until ? *rc::gen::inRange(0, 4) : 0; n > 0; --n)
-            starts.arrive_old(now + milliseconds(10));
-        starts.exchange();
+        incarnations.arrive_new(now);
+        for (int n = beat == delayed_until ? *rc::gen::inRange(0, 4) : 0; n > 0; --n)
+            incarnations.arrive_old(now + milliseconds(10));
+        incarnations.exchange();
     }
-    starts.check();
+    incarnations.check();
 }
 
-// The address answers for the start that lives, at one host that asks at least.
-RC_GTEST_PROP(LateReport, HostsAgreeAsSoonAsTheAddressHasAnswered, ()) {
-    TwoStarts starts;
+// The live incarnation confirms an address check of at least one host.
+RC_GTEST_PROP(DelayedReport, HostsAgreeOnceTheAddressIsConfirmed, ()) {
+    TwoIncarnations incarnations;
     Time now = Start;
-    starts.arrive_new(now);
+    incarnations.arrive_new(now);
     for (int n = *rc::gen::inRange(0, 4); n > 0; --n)
-        starts.arrive_old(now);
-    starts.exchange();
+        incarnations.arrive_old(now);
+    incarnations.exchange();
     std::size_t asked = 0;
-    for (Registry& host : starts.hosts)
-        for (const Registry::AddressCheck& question : host.take_address_checks(now))
-            if (question.endpoint.id == "new" && (asked++ == 0 || *rc::gen::arbitrary<bool>()))
-                host.confirmed(question, now);
-    starts.exchange();
-    starts.exchange();
-    starts.check();
+    for (Registry& host : incarnations.hosts)
+        for (const Registry::AddressCheck& due_check : host.take_address_checks(now))
+            if (due_check.endpoint.id == "new" && (asked++ == 0 || *rc::gen::arbitrary<bool>()))
+                host.confirmed(due_check, now);
+    incarnations.exchange();
+    incarnations.exchange();
+    incarnations.check();
 }
 
-// An entry host hears no beats.
-TEST(LateReport, AnEntryHostEndsNobodyForSilence) {
+// An entry host receives changes only, so it can not tell which endpoint is unresponsive.
+TEST(DelayedReport, AnEntryHostEndsNoUnresponsiveEndpoint) {
     Registry registry(false);
     registry.merge(report_of("living", 1), Start - seconds(60));
     for (int n = 0; n < 5; ++n)
         registry.merge(report_of("dead", 7u + static_cast<std::uint64_t>(n)), Start + n * Beat);
     EXPECT_TRUE(serves(registry, "living"));
-    // A control host has settled it the other way: both words come with its next message.
+    // A control host has resolved the conflict; both changes arrive with its next message.
     registry.mark_gone("living", Start);
     registry.merge(report_of("dead", 12), Start);
     EXPECT_TRUE(serves(registry, "dead"));
 }
 
-TEST(LateReport, ADoubtedWordOfLeavingDrainsItsSenderOnly) {
+TEST(DelayedReport, ADrainingReportAffectsOnlyItsOwnEndpoint) {
     Registry registry;
     registry.merge(report_of("living", 1), Start);
     EndpointReport leaving = report_of("living", 2);
@@ -175,25 +176,25 @@
     EXPECT_TRUE(registry.merge(leaving, Start));
     EXPECT_EQ(registry.find("living")->report.phase, EndpointPhase::Draining);
     EXPECT_FALSE(registry.merge(report_of("dead", 9), Start));
-    EXPECT_FALSE(stands(registry, "dead"));
+    EXPECT_FALSE(is_present(registry, "dead"));
 }
 
-TEST(LateReport, AnOldAnswerEndsNoThirdStart) {
+TEST(DelayedReport, AnOldConfirmationEndsNoThirdIncarnation) {
     Registry registry;
     registry.merge(report_of("first", 5), Start);
     registry.merge(report_of("second", 1), Start);
-    const auto questions = registry.take_address_checks(Start);
+    const auto checks = registry.take_address_checks(Start);
     registry.merge(report_of("third", 1), Start);
-    for (const Registry::AddressCheck& question : registry.take_address_checks(Start))
-        registry.confirmed(question, Start);
+    for (const Registry::AddressCheck& due_check : registry.take_address_checks(Start))
+        registry.confirmed(due_check, Start);
     EXPECT_TRUE(serves(registry, "third"));
-    registry.confirmed(questions.front(), Start);
+    registry.confirmed(checks.front(), Start);
     EXPECT_TRUE(serves(registry, "third"));
-    EXPECT_FALSE(stands(registry, "second"));
+    EXPECT_FALSE(is_present(registry, "second"));
 }
 
-// What was only remembered makes room at once, and is not ended: it may be the one that lives.
-TEST(LateReport, ARememberedStartMakesRoom) {
+// A restored endpoint is replaced at once. It is not marked as gone, since it may be the live one.
+TEST(DelayedReport, ARestoredEndpointIsReplaced) {
     Registry registry;
     ASSERT_TRUE(registry.remember(report_of("remembered", 0), Start));
     EXPECT_TRUE(registry.merge(report_of("heard", 1), Start));
@@ -201,8 +202,8 @@
     EXPECT_EQ(registry.find("remembered"), nullptr);
 }
 
-// A late report is forgotten unless more of them come.
-TEST(LateReport, DoubtsEnd) {
+// A delayed report is forgotten unless more of them arrive.
+TEST(DelayedReport, ConflictsExpire) {
     Registry registry;
     registry.merge(report_of("living", 1), Start);
     registry.merge(report_of("dead", 7), Start);
@@ -211,7 +212,7 @@
     EXPECT_TRUE(serves(registry, "living"));
 }
 
-RC_GTEST_PROP(Registry, TheDigestThatIsKeptIsThatOfAFreshCopy, ()) {
+RC_GTEST_PROP(Registry, TheIncrementalDigestEqualsThatOfAFreshCopy, ()) {
     Registry registry;
     Time now = Start;
     const int steps = *rc::gen::inRange(1, 60);
@@ -235,8 +236,8 @@
             registry.expire(now + seconds(*rc::gen::inRange(0, 200)));
             break;
         case 4:
-            for (const Registry::AddressCheck& question : registry.take_address_checks(now))
-                registry.confirmed(question, now);
+            for (const Registry::AddressCheck& due_check : registry.take_address_checks(now))
+                registry.confirmed(due_check, now);
             break;
         case 5:
             registry.seen_alive(id, now);
--- a/tests/unit/registryrepair_test.cpp
+++ b/tests/unit/registryrepair_test.cpp
@@ -1,4 +1,4 @@
-// How hosts mend what differs between their registries, and what a new leader takes for known.
+// Tests of the repair of differing registries, and of what a new leader assumes about groups.
 
 #include "process/groupplanner.h"
 #include "process/registryrepair.h"
@@ -28,9 +28,9 @@
     return report;
 }
 
-// What one comparison and its answer bring over. Returns the number of reports sent.
-std::size_t mend(RegistryRepair& repair, const Registry& from, Registry& to, bool trusted,
-                 Time now) {
+// Runs one comparison and copies the requested ranges. Returns the number of reports sent.
+std::size_t repair_once(RegistryRepair& repair, const Registry& from, Registry& to, bool trusted,
+                        Time now) {
     std::size_t sent = 0;
     const auto wanted =
         repair.compare("host", from.range_digests(), to.range_digests(), trusted, now);
@@ -42,7 +42,7 @@
     return sent;
 }
 
-TEST(RegistryRepair, OneDifferenceCostsOneRange) {
+TEST(RegistryRepair, CopiesOneRangeForOneDifference) {
     constexpr int Endpoints = 3000;
     Registry whole;
     Registry other;
@@ -52,16 +52,16 @@
             other.merge(report_of(n), Start);
     }
     RegistryRepair repair;
-    EXPECT_EQ(mend(repair, whole, other, false, Start), 0u); // may be under way
-    const std::size_t sent = mend(repair, whole, other, false, Start + seconds(1));
+    EXPECT_EQ(repair_once(repair, whole, other, false, Start), 0u); // may be in flight
+    const std::size_t sent = repair_once(repair, whole, other, false, Start + seconds(1));
     EXPECT_GE(sent, 1u);
     EXPECT_LT(sent, 2 * Endpoints / RegistryRanges);
     EXPECT_EQ(whole.digest(), other.digest());
     EXPECT_EQ(whole.range_digests(), other.range_digests());
 }
 
-// While endpoints register, form groups or come and go, registries differ all the time.
-TEST(RegistryRepair, ChangesThatAreUnderWayCostNothing) {
+// While endpoints register, form groups, start or exit, registries differ all the time.
+TEST(RegistryRepair, CopiesNothingForChangesInFlight) {
     Registry whole;
     Registry behind;
     RegistryRepair repair;
@@ -71,11 +71,11 @@
             report.slots = static_cast<std::uint32_t>(step);
             whole.merge(report, Start);
         }
-        EXPECT_EQ(mend(repair, whole, behind, false, Start + step * seconds(1)), 0u);
+        EXPECT_EQ(repair_once(repair, whole, behind, false, Start + step * seconds(1)), 0u);
     }
 }
 
-TEST(RegistryRepair, ANewcomerAsksOneHostForAllAndInParts) {
+TEST(RegistryRepair, ANewHostRequestsAllFromOneHostInParts) {
     Registry whole;
     for (int n = 0; n < 1000; ++n)
         whole.merge(report_of(n), Start);
@@ -90,7 +90,7 @@
         EXPECT_LE(part.reports.size(), 256u);
 }
 
-TEST(RegistryRepair, ANewcomerIsToldBySomeWhoAgreeWhatTheFirstHostLacked) {
+TEST(RegistryRepair, ANewHostRequestsRangesOnWhichOthersAgree) {
     Registry whole;
     Registry part;
     Registry entry;
@@ -99,20 +99,21 @@
     for (int n = 0; n < 3; ++n)
         part.merge(report_of(n), Start);
     RegistryRepair repair;
-    const auto told = [&](const std::string& host, const Registry& by, Time now) {
+    const auto compare_with = [&](const std::string& host, const Registry& by, Time now) {
         return repair.compare(host, by.range_digests(), entry.range_digests(), host == "first",
                               now);
     };
-    for (const RangeCopy& copy : copy_ranges(part, told("first", part, Start), Start))
+    for (const RangeCopy& copy : copy_ranges(part, compare_with("first", part, Start), Start))
         for (const EndpointReport& report : copy.reports)
             entry.merge(report, Start);
-    EXPECT_TRUE(told("second", whole, Start + milliseconds(120)).empty());
-    EXPECT_FALSE(repair.agreed_ranges(entry.range_digests(), Start + seconds(1))); // one host alone
-    EXPECT_TRUE(told("third", whole, Start + milliseconds(121)).empty());
+    EXPECT_TRUE(compare_with("second", whole, Start + milliseconds(120)).empty());
+    EXPECT_FALSE(
+        repair.agreed_ranges(entry.range_digests(), Start + seconds(1))); // one host is not enough
+    EXPECT_TRUE(compare_with("third", whole, Start + milliseconds(121)).empty());
     EXPECT_FALSE(repair.agreed_ranges(entry.range_digests(), Start + milliseconds(130)));
-    const auto ask = repair.agreed_ranges(entry.range_digests(), Start + milliseconds(600));
-    ASSERT_TRUE(ask);
-    for (const RangeCopy& copy : copy_ranges(whole, ask->ranges, Start))
+    const auto request = repair.agreed_ranges(entry.range_digests(), Start + milliseconds(600));
+    ASSERT_TRUE(request);
+    for (const RangeCopy& copy : copy_ranges(whole, request->ranges, Start))
         for (const EndpointReport& report : copy.reports)
             entry.merge(report, Start);
     EXPECT_EQ(entry.digest(), whole.digest());
@@ -132,7 +133,7 @@
     std::array<RegistryRepair, 2> repairs;
     for (int round = 0; round < 6; ++round)
         for (std::size_t to = 0; to < 2; ++to)
-            mend(repairs[to], hosts[1 - to], hosts[to], false, Start + round * seconds(1));
+            repair_once(repairs[to], hosts[1 - to], hosts[to], false, Start + round * seconds(1));
     RC_ASSERT(hosts[0].digest() == hosts[1].digest());
 }
 
@@ -147,7 +148,7 @@
     return planner;
 }
 
-TEST(Takeover, HostsOfARecordedGroupAreNotFreeWhateverWordIsMissing) {
+TEST(Takeover, HostsOfARecordedGroupAreNotFreeWithoutReports) {
     Registry behind;
     GroupPlanner planner = planner_of_pairs();
     planner.traffic_began();
@@ -190,20 +191,20 @@
         }
     }
     EXPECT_GT(asked_to_leave, 0u);
-    // Its lead answers at last.
+    // The lead of the group replies at last.
     EndpointOrder leave;
     leave.kind = OrderKind::Leave;
     leave.endpoint = lead;
     leave.epoch = 7;
     planner.answered(leave, OrderAnswer::Taken, now);
-    now += seconds(4); // until those that did not answer are believed again
+    now += seconds(4); // until the planner uses unresponsive endpoints again
     for (int n = 0; n < 2; ++n)
         behind.seen_alive(report_of(n).id, now);
     EXPECT_EQ(joins(), 2);
 }
 
-// A control host that was just started knows no endpoint yet, only the log.
-TEST(Takeover, AGroupOfWhichNothingWasHeardStaysInTheLog) {
+// A control host that was just started knows no endpoint yet, only the replicated log.
+TEST(Takeover, AGroupWithoutReportsStaysInTheLog) {
     Registry empty;
     GroupPlanner planner = planner_of_pairs();
     PlannedGroups log;
