--- a/src/process/clock.cpp
+++ b/src/process/clock.cpp
@@ -1,11 +1,13 @@
+// Reads the system clocks.
+
 #include "process/clock.h"
 
 #include <ctime>
 
 namespace liftweir {
 
-// CLOCK_BOOTTIME rather than CLOCK_MONOTONIC: a host that was suspended must find its leases
-// run out, and CLOCK_MONOTONIC stands still during a suspend.
+// Uses CLOCK_BOOTTIME because CLOCK_MONOTONIC stops while the host is suspended: leases must expire
+// during a suspend too.
 Time BootClock::now() {
     timespec ts{};
     clock_gettime(CLOCK_BOOTTIME, &ts);
--- a/src/process/clock.h
+++ b/src/process/clock.h
@@ -1,3 +1,5 @@
+// The clock for leases and timeouts, and conversions of durations. Used by all programs.
+
 #ifndef CLOCK_H_INCLUDED
 #define CLOCK_H_INCLUDED
 
@@ -6,7 +8,7 @@
 
 namespace liftweir {
 
-// Clock that goes on while the machine is suspended. All leases are measured with it.
+// A clock that keeps running while the machine is suspended. All leases are measured with it.
 struct BootClock {
     using duration = std::chrono::nanoseconds;
     using rep = duration::rep;
@@ -20,14 +22,15 @@
 using Time = BootClock::time_point;
 using Duration = BootClock::duration;
 
-// Wall time in milliseconds since the Unix epoch; for display and windows of hours only.
+// Wall-clock time in milliseconds since the Unix epoch. Only for display and for time spans of
+// hours, since it may jump.
 std::int64_t wall_millis();
 
 constexpr std::int64_t to_millis(Duration d) {
     return std::chrono::duration_cast<std::chrono::milliseconds>(d).count();
 }
 
-// With the fractions that to_millis cuts off.
+// Like to_millis, but keeps fractions of a millisecond.
 constexpr double to_exact_millis(Duration d) {
     return std::chrono::duration<double, std::milli>(d).count();
 }
--- a/src/process/config.cpp
+++ b/src/process/config.cpp
@@ -1,3 +1,5 @@
+// Reads and checks the settings file of a process; runs in liftweir-control, -entry and -agent.
+
 #include "process/config.h"
 
 #include "connection/link.h"
@@ -13,7 +15,7 @@
 namespace {
 
 using Check = std::function<bool(const Json::Value&)>;
-using Take = std::function<void(ProcessConfig&, const Json::Value&)>;
+using Setter = std::function<void(ProcessConfig&, const Json::Value&)>;
 
 constexpr unsigned ForControl = 1;
 constexpr unsigned ForEntry = 2;
@@ -26,7 +28,7 @@
     unsigned required;
     std::string allowed;
     Check check;
-    Take take;
+    Setter set;
 };
 
 bool is_address(const Json::Value& v) {
@@ -57,55 +59,55 @@
     });
 }
 
-Take text_into(std::string ProcessConfig::*field) {
+Setter set_text(std::string ProcessConfig::*field) {
     return [field](ProcessConfig& c, const Json::Value& v) { c.*field = v.asString(); };
 }
-Take count_into(std::uint32_t ProcessConfig::*field) {
+Setter set_count(std::uint32_t ProcessConfig::*field) {
     return [field](ProcessConfig& c, const Json::Value& v) { c.*field = v.asUInt(); };
 }
-Take flag_into(bool ProcessConfig::*field) {
+Setter set_flag(bool ProcessConfig::*field) {
     return [field](ProcessConfig& c, const Json::Value& v) { c.*field = v.asBool(); };
 }
 
 const std::vector<LocalKey>& local_keys() {
     using C = ProcessConfig;
     static const std::vector<LocalKey> keys = {
-        {"name", ForAll, ForAll, "text", is_text, text_into(&C::name)},
-        {"site", ForAll, ForEntry | ForAgent, "text", is_text, text_into(&C::site)},
-        {"zone", ForAll, ForAll, "text", is_text, text_into(&C::zone)},
+        {"name", ForAll, ForAll, "text", is_text, set_text(&C::name)},
+        {"site", ForAll, ForEntry | ForAgent, "text", is_text, set_text(&C::site)},
+        {"zone", ForAll, ForAll, "text", is_text, set_text(&C::zone)},
         {"listen", ForControl | ForAgent, ForControl | ForAgent, "ip:port", is_address,
-         text_into(&C::listen)},
-        {"http", ForAll, ForAll, "ip:port", is_address, text_into(&C::http)},
-        {"metrics", ForEntry, ForEntry, "ip:port", is_address, text_into(&C::metrics)},
+         set_text(&C::listen)},
+        {"http", ForAll, ForAll, "ip:port", is_address, set_text(&C::http)},
+        {"metrics", ForEntry, ForEntry, "ip:port", is_address, set_text(&C::metrics)},
         {"cluster_keys", ForAll, ForAll, "list of one or two texts of 16 bytes or more", is_keys,
          [](C& c, const Json::Value& v) {
              for (const auto& key : v)
                  c.cluster_keys.push_back(key.asString());
          }},
-        {"control", ForAll, ForAll, "object of node number to ip:port", is_control,
+        {"control", ForAll, ForAll, "object that maps node numbers to ip:port", is_control,
          [](C& c, const Json::Value& v) {
              for (const auto& name : v.getMemberNames())
                  c.control[static_cast<std::uint32_t>(std::atoi(name.c_str()))] =
                      v[name].asString();
          }},
-        {"node", ForControl, ForControl, "number from 1", is_count, count_into(&C::node)},
-        {"data", ForControl, ForControl, "folder", is_text, text_into(&C::data)},
-        {"join", ForControl, 0, "true or false", is_bool, flag_into(&C::join)},
+        {"node", ForControl, ForControl, "number from 1", is_count, set_count(&C::node)},
+        {"data", ForControl, ForControl, "folder", is_text, set_text(&C::data)},
+        {"join", ForControl, 0, "true or false", is_bool, set_flag(&C::join)},
         {"bootstrap_admin_digest", ForControl, 0, "SHA-256 digest", is_text,
-         text_into(&C::bootstrap_admin_digest)},
+         set_text(&C::bootstrap_admin_digest)},
         {"threads", ForEntry, 0, "number from 1 to 64",
          [](const Json::Value& v) { return v.isUInt() && v.asUInt() >= 1 && v.asUInt() <= 64; },
-         count_into(&C::threads)},
-        {"domain", ForAgent, 0, "text", is_text, text_into(&C::domain)},
-        {"accelerators", ForAgent, 0, "number", is_count, count_into(&C::accelerators)},
-        {"ping", ForAgent, ForAgent, "ip:port", is_address, text_into(&C::ping)},
-        {"advertise", ForAgent, 0, "ip:port", is_address, text_into(&C::advertise)},
-        {"advertise_ping", ForAgent, 0, "ip:port", is_address, text_into(&C::advertise_ping)},
-        {"engine_url", ForAgent, 0, "URL", is_text, text_into(&C::engine_url)},
-        {"service_url", ForAgent, 0, "URL", is_text, text_into(&C::service_url)},
-        {"service", ForAgent, 0, "text", is_text, text_into(&C::service)},
+         set_count(&C::threads)},
+        {"domain", ForAgent, 0, "text", is_text, set_text(&C::domain)},
+        {"accelerators", ForAgent, 0, "number", is_count, set_count(&C::accelerators)},
+        {"ping", ForAgent, ForAgent, "ip:port", is_address, set_text(&C::ping)},
+        {"advertise", ForAgent, 0, "ip:port", is_address, set_text(&C::advertise)},
+        {"advertise_ping", ForAgent, 0, "ip:port", is_address, set_text(&C::advertise_ping)},
+        {"engine_url", ForAgent, 0, "URL", is_text, set_text(&C::engine_url)},
+        {"service_url", ForAgent, 0, "URL", is_text, set_text(&C::service_url)},
+        {"service", ForAgent, 0, "text", is_text, set_text(&C::service)},
         {"engine_checks_fence", ForAgent, 0, "true or false", is_bool,
-         flag_into(&C::engine_checks_fence)},
+         set_flag(&C::engine_checks_fence)},
     };
     return keys;
 }
@@ -115,7 +117,8 @@
 }
 
 std::string nearest_local_key(const std::string& name) {
-    // The tree's edit distance is private to its table; a common prefix is enough for 20 keys.
+    // The edit distance used for the settings tree is private there. A common prefix is enough to
+    // find the nearest of 20 keys.
     std::string best;
     std::size_t best_length = 0;
     for (const LocalKey& key : local_keys()) {
@@ -129,22 +132,22 @@
     return best;
 }
 
-tl::unexpected<Failure> bad(const std::string& file, const std::string& text) {
+tl::unexpected<Failure> bad_settings(const std::string& file, const std::string& text) {
     return fail(FailureKind::BadSettings, file + ": " + text);
 }
 
-Expected<void> check_whole(const ProcessConfig& c, Program program, const std::string& file) {
+Expected<void> check_consistency(const ProcessConfig& c, Program program, const std::string& file) {
     if (program == Program::Control && !c.control.contains(c.node))
-        return bad(file, "node: found " + std::to_string(c.node) +
-                             "; allowed is a number that 'control' names");
+        return bad_settings(file, "node: found " + std::to_string(c.node) +
+                                      "; allowed is a number listed in 'control'");
     if (program != Program::Agent)
         return {};
     if (c.engine_url.empty() == c.service_url.empty())
-        return bad(file, "engine_url, service_url: exactly one of them is needed");
+        return bad_settings(file, "engine_url, service_url: exactly one of them must be set");
     if (!c.service_url.empty() && c.service.empty())
-        return bad(file, "service: missing; a service_url needs it");
+        return bad_settings(file, "service: missing; required with service_url");
     if (!c.engine_url.empty() && c.domain.empty())
-        return bad(file, "domain: missing; an engine_url needs it");
+        return bad_settings(file, "domain: missing; required with engine_url");
     return {};
 }
 
@@ -165,14 +168,14 @@
 Expected<ProcessConfig> read_config(Program program, const std::string& file) {
     std::ifstream in(file);
     if (!in)
-        return bad(file, "can not be read");
+        return bad_settings(file, "can not be read");
     std::ostringstream text;
     text << in.rdbuf();
     const auto json = parse_json(text.str());
     if (!json)
-        return bad(file, json.error().detail);
+        return bad_settings(file, json.error().detail);
     if (!json->isObject())
-        return bad(file, "found " + to_text(*json) + "; allowed is an object");
+        return bad_settings(file, "found " + to_text(*json) + "; allowed is an object");
     ProcessConfig config;
     for (const auto& name : json->getMemberNames()) {
         const auto& keys = local_keys();
@@ -180,17 +183,18 @@
             return k.name == name && (k.programs & bit_of(program)) != 0;
         });
         if (key == keys.end())
-            return bad(file, name + ": unknown key; the nearest is " + nearest_local_key(name));
+            return bad_settings(file,
+                                name + ": unknown key; the nearest is " + nearest_local_key(name));
         if (!key->check((*json)[name]))
-            return bad(file,
-                       name + ": found " + to_text((*json)[name]) + "; allowed is " + key->allowed);
-        key->take(config, (*json)[name]);
+            return bad_settings(file, name + ": found " + to_text((*json)[name]) + "; allowed is " +
+                                          key->allowed);
+        key->set(config, (*json)[name]);
     }
     for (const LocalKey& key : local_keys())
         if ((key.required & bit_of(program)) != 0 && !json->isMember(key.name))
-            return bad(file, key.name + ": missing; allowed is " + key.allowed);
-    if (auto whole = check_whole(config, program, file); !whole)
-        return tl::make_unexpected(whole.error());
+            return bad_settings(file, key.name + ": missing; allowed is " + key.allowed);
+    if (auto consistent = check_consistency(config, program, file); !consistent)
+        return tl::make_unexpected(consistent.error());
     return config;
 }
 
--- a/src/process/config.h
+++ b/src/process/config.h
@@ -1,3 +1,6 @@
+// The settings file of one process.
+// Read by liftweir-control, liftweir-entry and liftweir-agent.
+
 #ifndef CONFIG_H_INCLUDED
 #define CONFIG_H_INCLUDED
 
@@ -12,29 +15,31 @@
 
 enum class Program : unsigned char { Control, Entry, Agent };
 
-// A process's own settings, read once from a JSON file. What all processes share is in the tree
-// of settings instead.
+// Settings of a single process, read once from a JSON file. Settings that all processes share are
+// in the settings tree instead.
 struct ProcessConfig {
     std::string name;
     std::string site; // organisation/region/site
     std::string zone;
-    std::string listen;                           // ip:port for links of the system's own processes
-    std::string http;                             // ip:port for callers, operators and metrics
-    std::vector<std::string> cluster_keys;        // the first one signs
-    std::map<std::uint32_t, std::string> control; // link addresses by node number
+    std::string listen;                    // ip:port for links between liftweir processes
+    std::string http;                      // ip:port for callers, operators and metrics
+    std::vector<std::string> cluster_keys; // the first one signs
+    std::map<std::uint32_t, std::string>
+        control; // ip:port for links of control hosts, by node number
     // control
     std::uint32_t node = 0;
     std::string data;
     bool join = false;                  // wait to be added to the voters
-    std::string bootstrap_admin_digest; // SHA-256 of a token that is always an admin
+    std::string bootstrap_admin_digest; // SHA-256 of a token that always has the admin role
     // entry
     std::uint32_t threads = 1;
-    std::string metrics; // ip:port, apart from the callers' one
+    std::string metrics; // ip:port, other than the one for callers
     // agent
     std::string domain;
     std::uint32_t accelerators = 0;
     std::string ping; // ip:port, UDP
-    // What other processes dial, where it is not what this one binds; empty: the same.
+    // ip:port that other processes connect to, if it differs from the one bound here; empty: the
+    // same.
     std::string advertise;
     std::string advertise_ping;
     std::string engine_url;
@@ -43,7 +48,8 @@
     bool engine_checks_fence = true;
 };
 
-// Fails with BadSettings: names the file, the key, what was found and what is allowed.
+// Fails with BadSettings; the detail names the file, the key, the value found and the allowed
+// values.
 Expected<ProcessConfig> read_config(Program program, const std::string& file);
 
 std::string_view name_of(Program program);
--- a/src/process/failure.cpp
+++ b/src/process/failure.cpp
@@ -1,3 +1,5 @@
+// Names of the failure kinds, as shown to callers and operators.
+
 #include "process/failure.h"
 
 namespace liftweir {
--- a/src/process/failure.h
+++ b/src/process/failure.h
@@ -1,3 +1,5 @@
+// The kinds of failures, and the result type that carries them. Used by all programs.
+
 #ifndef FAILURE_H_INCLUDED
 #define FAILURE_H_INCLUDED
 
@@ -7,28 +9,28 @@
 
 namespace liftweir {
 
-// Every way in which an operation of liftweir can fail. The names are part of the public
-// interface: callers and operators see them in JSON answers.
+// Every way in which an operation can fail. The names are part of the public interface: callers and
+// operators see them in JSON responses.
 enum class FailureKind : unsigned char {
     BadSettings,     // a settings file or a change of settings is not valid
     BadRequest,      // a request is malformed
     Unauthorized,    // missing or unknown key or token
     Forbidden,       // the token's role does not allow the call
-    NotFound,        // the named thing does not exist
-    Conflict,        // compare-and-set lost against another writer
-    NotLeader,       // this control host does not lead
+    NotFound,        // the named object does not exist
+    Conflict,        // a compare-and-set failed because of another writer
+    NotLeader,       // this control host is not the leader
     NoQuorum,        // a majority of control hosts can not be reached
     Overloaded,      // a limit or a bounded queue refused the work
-    DeadlineTooNear, // the work can not finish before its deadline
-    NoEndpoint,      // no endpoint that could serve the request is ready
-    Draining,        // the process takes no new work
-    EndpointFailed,  // the endpoint failed while it worked
-    Cancelled,       // the caller went away
-    Mismatch,        // an idempotency key was used again with another body
-    InProgress,      // the first call with this idempotency key still runs
-    OutcomeUnknown,  // the call may have run; it is not run again
-    Decode,          // bytes on the wire are not a valid message
-    Damaged,         // stored data fail their checks
+    DeadlineTooNear, // the request can not finish before its deadline
+    NoEndpoint,      // no ready endpoint can serve the request
+    Draining,        // the process accepts no new work
+    EndpointFailed,  // the endpoint failed while it processed the request
+    Cancelled,       // the caller disconnected
+    Mismatch,        // an idempotency key was reused with a different body
+    InProgress,      // the first call with this idempotency key is still running
+    OutcomeUnknown,  // the call may have been executed; it is not repeated
+    Decode,          // the received bytes are not a valid message
+    Damaged,         // stored data are corrupt
     Storage,         // the file system refused an operation
     Io               // a socket failed
 };
--- a/src/process/observe.cpp
+++ b/src/process/observe.cpp
@@ -1,3 +1,5 @@
+// Serves health checks, metrics and events; runs in liftweir-control, -entry and -agent.
+
 #include "process/observe.h"
 
 #include "connection/ticket.h"
--- a/src/process/observe.h
+++ b/src/process/observe.h
@@ -1,3 +1,6 @@
+// HTTP endpoints for health checks, metrics and events.
+// Runs in liftweir-control, liftweir-entry and liftweir-agent.
+
 #ifndef OBSERVE_H_INCLUDED
 #define OBSERVE_H_INCLUDED
 
@@ -8,12 +11,12 @@
 
 namespace liftweir {
 
-// Serves /healthz, /readyz, /metrics and /events. Returns false where the path is another one.
-// Metrics and events need a ticket; health and readiness tell nothing but yes or no.
+// Serves /healthz, /readyz, /metrics and /events; returns false for any other path. Metrics and
+// events require a ticket. Health and readiness do not, as they reveal only yes or no.
 bool serve_observability(HttpExchange& exchange, const ClusterKeys& keys,
                          const std::function<bool()>& ready);
 
-// Answers with a typed JSON error.
+// Sends a response with a JSON body.
 void respond_json(HttpExchange& exchange, int status, std::string body);
 
 } // namespace liftweir
--- a/src/process/siteconfig.cpp
+++ b/src/process/siteconfig.cpp
@@ -1,3 +1,5 @@
+// Reads and checks the settings file of liftweir-site-control and liftweir-site-entry.
+
 #include "process/siteconfig.h"
 
 #include "connection/link.h"
@@ -14,25 +16,25 @@
 
 constexpr double MillisPerSecond = 1000;
 
-// Reads typed values out of one JSON object and keeps the first thing that is wrong. Numbers may
-// stand as texts, since a template can only lay texts; an empty one means the default.
+// Reads typed values from one JSON object and keeps the first error. Numbers may be given as
+// strings, since a template can only insert strings; an empty string means the default.
 class Reader {
   public:
     Reader(std::string file, const Json::Value& root) : file_(std::move(file)), root_(root) {}
 
-    void text(const char* key, std::string& out, bool needed) {
+    void text(const char* key, std::string& out, bool required) {
         const Json::Value& value = root_[key];
         if (value.isString())
             out = value.asString();
         else if (!value.isNull())
-            complain(key, "a text");
-        if (needed && out.empty())
-            complain(key, "a text that is not empty");
+            set_error(key, "a text");
+        if (required && out.empty())
+            set_error(key, "a text that is not empty");
     }
     void address(const char* key, std::string& out) {
         text(key, out, false);
         if (!out.empty() && !parse_address(out))
-            complain(key, "ip:port");
+            set_error(key, "ip:port");
     }
     void number(const char* key, double& out) {
         const Json::Value& value = root_[key];
@@ -45,7 +47,7 @@
             return;
         const auto [end, error] = std::from_chars(given.data(), given.data() + given.size(), out);
         if (error != std::errc() || end != given.data() + given.size() || out < 0)
-            complain(key, "a number, not below zero");
+            set_error(key, "a number, not below zero");
     }
     void millis(const char* key, Duration& out) {
         double value = static_cast<double>(to_millis(out));
@@ -59,11 +61,11 @@
         out = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(value));
     }
     template <typename Integer>
-    void integer(const char* key, Integer& out, double most) {
+    void integer(const char* key, Integer& out, double max) {
         double value = static_cast<double>(out);
         number(key, value);
-        if (value > most)
-            complain(key, "a whole number of at most " + std::to_string(most));
+        if (value > max)
+            set_error(key, "a whole number of at most " + std::to_string(max));
         else
             out = static_cast<Integer>(value);
     }
@@ -74,35 +76,35 @@
         else if (value.isString() && (value.asString() == "true" || value.asString() == "false"))
             out = value.asString() == "true";
         else if (!value.isNull() && !(value.isString() && value.asString().empty()))
-            complain(key, "true or false");
+            set_error(key, "true or false");
     }
     void texts(const char* key, std::vector<std::string>& out) {
         const Json::Value& value = root_[key];
         if (!value.isArray()) {
-            complain(key, "a list of texts");
+            set_error(key, "a list of texts");
             return;
         }
         for (const Json::Value& item : value)
             if (item.isString())
                 out.push_back(item.asString());
             else
-                complain(key, "a list of texts");
+                set_error(key, "a list of texts");
     }
     Expected<void> result() const {
-        if (wrong_.empty())
+        if (error_.empty())
             return {};
-        return fail(FailureKind::BadSettings, wrong_);
+        return fail(FailureKind::BadSettings, error_);
     }
 
   private:
-    void complain(const std::string& key, const std::string& allowed) {
-        if (wrong_.empty())
-            wrong_ = file_ + ": " + key + " is " + root_[key].toStyledString() + ", not " + allowed;
+    void set_error(const std::string& key, const std::string& allowed) {
+        if (error_.empty())
+            error_ = file_ + ": " + key + " is " + root_[key].toStyledString() + ", not " + allowed;
     }
 
     std::string file_;
     const Json::Value& root_;
-    std::string wrong_;
+    std::string error_;
 };
 
 } // namespace
--- a/src/process/ticker.h
+++ b/src/process/ticker.h
@@ -1,3 +1,5 @@
+// Periodic timer for the event loops of all server programs.
+
 #ifndef TICKER_H_INCLUDED
 #define TICKER_H_INCLUDED
 
@@ -10,7 +12,7 @@
 
 namespace liftweir {
 
-// Calls a function again and again on the loop, each time one pause after the last call ended.
+// Calls a function periodically on an event loop, each time `pause` after the previous call ended.
 class Ticker {
   public:
     Ticker(asio::io_context& io, Duration pause, std::function<void()> tick)
--- a/src/process/timeline.cpp
+++ b/src/process/timeline.cpp
@@ -1,3 +1,5 @@
+// Names, storage and JSON form of events.
+
 #include "process/timeline.h"
 
 #include "process/clock.h"
@@ -48,7 +50,7 @@
     return last_;
 }
 
-void Timeline::witness(std::int64_t wall_ms) {
+void Timeline::advance_to(std::int64_t wall_ms) {
     const std::lock_guard lock(mutex_);
     if (wall_ms > last_.wall_ms)
         last_ = {wall_ms, 0};
--- a/src/process/timeline.h
+++ b/src/process/timeline.h
@@ -1,3 +1,6 @@
+// Events of a process, served at /events for `liftweirctl timeline`.
+// Runs in liftweir-control, liftweir-entry and liftweir-agent.
+
 #ifndef TIMELINE_H_INCLUDED
 #define TIMELINE_H_INCLUDED
 
@@ -50,8 +53,8 @@
 
 std::string_view name_of(EventKind kind);
 
-// Hybrid logical time: wall milliseconds, and a counter that orders events of one millisecond
-// and keeps an effect behind its cause when clocks differ.
+// Hybrid logical time: wall-clock milliseconds, and a counter that orders events within a
+// millisecond and keeps an effect after its cause where clocks differ.
 struct HybridTime {
     std::int64_t wall_ms = 0;
     std::uint32_t counter = 0;
@@ -70,17 +73,17 @@
     std::string cause = {};
 };
 
-// Bounded ring of what a process did, for `liftweirctl timeline`. Thread-safe; never on the path
-// of a request that succeeds.
+// Bounded ring buffer of the latest events. Thread-safe; not used on the path of a request that
+// succeeds.
 class Timeline {
   public:
     static Timeline& instance();
 
     void name(std::string process, std::uint64_t incarnation);
     void add(Event event);
-    // Time stamps from other processes pull the own clock forward.
-    void witness(std::int64_t wall_ms);
-    // Events after a sequence number, with the number lost from the ring before it.
+    // Advances the hybrid clock to a time stamp from another process.
+    void advance_to(std::int64_t wall_ms);
+    // Events after a sequence number, and the number of those that the ring has dropped already.
     Json::Value since(std::uint64_t sequence) const;
 
   private:
@@ -94,7 +97,7 @@
     std::uint64_t incarnation_ = 0;
 };
 
-// Adds an event to the time line and to the log.
+// Adds an event to the timeline and to the process log.
 void record(Event event);
 
 } // namespace liftweir
