--- a/src/process/config.cpp
+++ b/src/process/config.cpp
@@ -44,10 +44,10 @@
     return v.isBool();
 }
 bool is_keys(const Json::Value& v) {
-    constexpr std::size_t ShortestKey = 16;
+    constexpr std::size_t ShortestKeyBytes = 16;
     return v.isArray() && !v.empty() && v.size() <= 2 &&
            std::all_of(v.begin(), v.end(), [](const Json::Value& key) {
-               return key.isString() && key.asString().size() >= ShortestKey;
+               return key.isString() && key.asString().size() >= ShortestKeyBytes;
            });
 }
 bool is_control(const Json::Value& v) {
--- a/src/process/config.h
+++ b/src/process/config.h
@@ -21,20 +21,19 @@
     std::string name;
     std::string site; // organisation/region/site
     std::string zone;
-    std::string listen;                    // ip:port for links between liftweir processes
-    std::string http;                      // ip:port for callers, operators and metrics
-    std::vector<std::string> cluster_keys; // the first one signs
-    std::map<std::uint32_t, std::string>
-        control; // ip:port for links of control hosts, by node number
-    // control
+    std::string listen;                           // ip:port for links between liftweir processes
+    std::string http;                             // ip:port for callers, operators and metrics
+    std::vector<std::string> cluster_keys;        // the first one signs
+    std::map<std::uint32_t, std::string> control; // link addresses (ip:port) by node number
+    // Only for liftweir-control.
     std::uint32_t node = 0;
     std::string data;
     bool join = false;                  // wait to be added to the voters
     std::string bootstrap_admin_digest; // SHA-256 of a token that always has the admin role
-    // entry
+    // Only for liftweir-entry.
     std::uint32_t threads = 1;
     std::string metrics; // ip:port, other than the one for callers
-    // agent
+    // Only for liftweir-agent.
     std::string domain;
     std::uint32_t accelerators = 0;
     std::string ping; // ip:port, UDP
--- a/src/process/failure.h
+++ b/src/process/failure.h
@@ -20,7 +20,7 @@
     Conflict,        // a compare-and-set failed because of another writer
     NotLeader,       // this control host is not the leader
     NoQuorum,        // a majority of control hosts can not be reached
-    Overloaded,      // a limit or a bounded queue refused the work
+    Overloaded,      // a limit or a bounded queue rejected the work
     DeadlineTooNear, // the request can not finish before its deadline
     NoEndpoint,      // no ready endpoint can serve the request
     Draining,        // the process accepts no new work
--- a/src/process/quarantine.cpp
+++ b/src/process/quarantine.cpp
@@ -59,7 +59,7 @@
 }
 
 bool Quarantine::aborted(const AbortedRequest& request, const EndpointId& endpoint, Time now) {
-    make_room();
+    evict_if_full();
     Record& record = records_[request.content];
     if (has_endpoint(record.endpoints, endpoint))
         return false;
@@ -98,7 +98,7 @@
 
 // Several hosts may report the same crash, so the larger count is taken instead of the sum.
 bool Quarantine::merge(const SuspectRequest& report, Time now) {
-    make_room();
+    evict_if_full();
     Record& record = records_[report.content];
     if (!has_new_crashes(record, report))
         return false;
@@ -155,7 +155,7 @@
 }
 
 // Removes the record with the fewest crashes, and the oldest one among these.
-void Quarantine::make_room() {
+void Quarantine::evict_if_full() {
     if (records_.size() < MaxRecords)
         return;
     const auto least =
--- a/src/process/quarantine.h
+++ b/src/process/quarantine.h
@@ -85,7 +85,7 @@
     SuspectRequest to_suspect_request(const Fingerprint& content, const Record& record,
                                       Time now) const;
     bool extend_quarantine(Record& record, Time until, Time now);
-    void make_room();
+    void evict_if_full();
 
     std::map<Fingerprint, Record> records_;
 };
--- a/src/process/raft.h
+++ b/src/process/raft.h
@@ -65,7 +65,7 @@
     Term term = 0;
     Index last_index = 0;
     Term last_term = 0;
-    bool pre = false;
+    bool pre = false; // a pre-vote, which does not raise the term
     MSGPACK_DEFINE(term, last_index, last_term, pre)
 };
 
--- a/src/process/registry.h
+++ b/src/process/registry.h
@@ -27,7 +27,7 @@
     Ready,   // has loaded its part of the model; the group does not serve yet
     Open,    // the lead takes requests
     Closing, // the lead only finishes the requests it has
-    Broken   // was stalled for too long; the lead refuses all requests
+    Broken   // was stalled for too long; the lead rejects all requests
 };
 
 // The state's name in log messages.
--- a/src/process/siteconfig.h
+++ b/src/process/siteconfig.h
@@ -17,12 +17,10 @@
 // Limits that the platform's operators promise their users. liftweir chooses its own timeouts and
 // rates within them.
 struct SiteBounds {
-    Duration beat = std::chrono::milliseconds(1200); // heartbeat interval of an endpoint
-    Duration drain =
-        std::chrono::milliseconds(2000);      // a leaving endpoint gets no requests after this
-    Duration grace = std::chrono::seconds(8); // from SIGTERM to SIGKILL
-    Duration revoke =
-        std::chrono::milliseconds(5000); // a removed key is accepted for no longer than this
+    Duration beat = std::chrono::milliseconds(1200);   // heartbeat interval of an endpoint
+    Duration drain = std::chrono::milliseconds(2000);  // until a leaving endpoint gets no requests
+    Duration grace = std::chrono::seconds(8);          // from SIGTERM to SIGKILL
+    Duration revoke = std::chrono::milliseconds(5000); // until a removed key is rejected
     bool fail_closed = true; // without contact to control, no key is accepted after `revoke`
     Duration load_window = std::chrono::seconds(5);
     Duration retry_window = std::chrono::seconds(10);
@@ -40,7 +38,7 @@
     std::string ip;
     std::uint16_t link_port = 0;       // for links between liftweir processes, on every host
     std::string link_listen;           // ip:port to bind for links, if it differs
-    std::vector<std::string> seeds;    // ip:port for operators of some control hosts
+    std::vector<std::string> seeds;    // operator addresses (ip:port) of control hosts
     bool first_start = false;          // first start of the whole deployment, with empty disks
     std::string data;                  // data directory of a control host
     std::string control;               // ip:port for operators and endpoints
--- a/tests/unit/replica_test.cpp
+++ b/tests/unit/replica_test.cpp
@@ -36,7 +36,7 @@
         : random_(seed),
           storage_(count),
           replicas_(count),
-          cut_(count, false),
+          partitioned_(count, false),
           busy_(count, false) {
         for (NodeId n = 1; n <= count && bootstrap.empty(); ++n)
             bootstrap_.insert(n);
@@ -63,7 +63,7 @@
     }
     bool up(NodeId n) const { return replicas_[n - 1] != nullptr; }
     Replica& at(NodeId n) { return *replicas_[n - 1]; }
-    void cut(NodeId n, bool off) { cut_[n - 1] = off; }
+    void partitioned(NodeId n, bool off) { partitioned_[n - 1] = off; }
     // A busy host neither reads messages nor runs its timers; its messages wait.
     void busy(NodeId n, bool on) { busy_[n - 1] = on; }
     unsigned size() const { return static_cast<unsigned>(replicas_.size()); }
@@ -77,14 +77,14 @@
                 at(n).tick(now_);
                 pump(n, loss, duplication);
             }
-        std::deque<Packet> threshold;
-        threshold.swap(wire_);
-        for (Packet& p : threshold) {
+        std::deque<Packet> due;
+        due.swap(wire_);
+        for (Packet& p : due) {
             if (busy_[p.to - 1] || random_() % 3 == 0) {
                 wire_.push_back(std::move(p));
                 continue;
             }
-            if (!up(p.to) || cut_[p.to - 1] || cut_[p.from - 1])
+            if (!up(p.to) || partitioned_[p.to - 1] || partitioned_[p.from - 1])
                 continue;
             at(p.to).step(p.from, p.message, now_);
             pump(p.to, loss, duplication);
@@ -96,7 +96,7 @@
     }
     Replica* leader() {
         for (NodeId n = 1; n <= size(); ++n)
-            if (up(n) && !cut_[n - 1] && at(n).ready())
+            if (up(n) && !partitioned_[n - 1] && at(n).ready())
                 return &at(n);
         return nullptr;
     }
@@ -125,7 +125,7 @@
     Voters bootstrap_;
     std::vector<MemStorage> storage_;
     std::vector<std::unique_ptr<Replica>> replicas_;
-    std::vector<bool> cut_;
+    std::vector<bool> partitioned_;
     std::vector<bool> busy_;
     std::deque<Packet> wire_;
     std::map<Index, std::string> applied_;
@@ -145,7 +145,7 @@
             else if (action < 6 && !hosts.up(node))
                 hosts.start(node);
             else if (action < 9)
-                hosts.cut(node, action % 2 == 0);
+                hosts.partitioned(node, action % 2 == 0);
             if (Replica* leader = hosts.leader()) {
                 const std::uint64_t s = ++sequence;
                 leader->propose(claim(s), [&acknowledged, s](const Expected<ApplyResult>& r) {
@@ -157,7 +157,7 @@
                 hosts.step(10, 10);
         }
         for (NodeId n = 1; n <= 3; ++n) {
-            hosts.cut(n, false);
+            hosts.partitioned(n, false);
             if (!hosts.up(n))
                 hosts.start(n);
         }
@@ -178,8 +178,8 @@
     hosts.run(std::chrono::seconds(3));
     Replica* old = hosts.leader();
     ASSERT_NE(old, nullptr);
-    const NodeId cut = old->raft().self();
-    hosts.cut(cut, true);
+    const NodeId partitioned = old->raft().self();
+    hosts.partitioned(partitioned, true);
     bool reported_done = false;
     bool reported_failed = false;
     old->propose(claim(1), [&](const Expected<ApplyResult>& r) {
@@ -194,7 +194,7 @@
     EXPECT_FALSE(read_done);
     Replica* successor = hosts.leader();
     ASSERT_NE(successor, nullptr);
-    EXPECT_NE(successor->raft().self(), cut);
+    EXPECT_NE(successor->raft().self(), partitioned);
 }
 
 // A host that returns from a partition does not raise the term, so the leader stays.
@@ -205,9 +205,9 @@
     ASSERT_NE(leader, nullptr);
     const Term term = leader->raft().term();
     const NodeId other = leader->raft().self() % 3 + 1;
-    hosts.cut(other, true);
+    hosts.partitioned(other, true);
     hosts.run(std::chrono::seconds(5));
-    hosts.cut(other, false);
+    hosts.partitioned(other, false);
     hosts.run(std::chrono::seconds(2));
     EXPECT_TRUE(leader->raft().leads());
     EXPECT_EQ(leader->raft().term(), term);
@@ -242,7 +242,7 @@
     Replica* leader = hosts.leader();
     ASSERT_NE(leader, nullptr);
     const NodeId self = leader->raft().self();
-    hosts.cut(self, true);
+    hosts.partitioned(self, true);
     for (int turn = 0; turn < 10; ++turn) {
         hosts.busy(self, true);
         hosts.run(std::chrono::milliseconds(300));
@@ -371,7 +371,7 @@
     Replica* leader = hosts.leader();
     ASSERT_NE(leader, nullptr);
     for (NodeId n = 1; n <= 3; ++n)
-        hosts.cut(n, n != leader->raft().self());
+        hosts.partitioned(n, n != leader->raft().self());
     leader->propose(change("o", 0, 5), [](const auto&) {});
     hosts.step();
     EXPECT_EQ(leader->state().lease_version(), 0u);
