--- a/src/process/gate.h
+++ b/src/process/gate.h
@@ -35,7 +35,8 @@
     // Pings to send now; none on a member that is not the lead.
     std::vector<DuePing> due_pings(Time now);
     void on_ping_reply(const PingReply& reply, Time now);
-    // The reply to send back; nullopt if this member's engine does not hold the group's epoch.
+    // The reply to send back; nullopt if the engine is not ready, or if the ping is for another
+    // epoch or incarnation.
     std::optional<PingReply> answer(const Ping& ping) const;
 
     // Whether requests may be forwarded to the engine now.
--- a/src/process/registry.h
+++ b/src/process/registry.h
@@ -87,8 +87,8 @@
     Address,    // the address is not of the form ip:port
     Place,      // the zone is missing, or the fabric domain is not a string
     Phase,      // the phase is neither serving nor draining
-    Slots,      // the number of slots is missing
-    Sequence,   // the sequence number is missing
+    Slots,      // the number of slots is missing or invalid
+    Sequence,   // the sequence number is missing or invalid
     Group,      // the membership, the models or another value has the wrong form
     Changed     // the service or address differs from earlier reports of this incarnation
 };
