--- a/src/process/groupformation.cpp
+++ b/src/process/groupformation.cpp
@@ -1,4 +1,5 @@
-// How GroupPlanner puts groups together: the first layout, new groups, staged and warm spares.
+// How GroupPlanner forms groups and prepares spare hosts: the first layout, new groups, staging of
+// weights and warm-up.
 
 #include "process/groupname.h"
 #include "process/groupplanner.h"
@@ -10,35 +11,36 @@
 
 namespace {
 
-// A host that was in a group of the model since its start joins another one this fast.
-constexpr Duration WarmJoin = std::chrono::milliseconds(200);
-// A load pays where at least half of a group waits for it: other hosts may come or go meanwhile.
-constexpr std::size_t LeastPartWaiting = 2;
-// Groups that a model without any counts as when it is weighed against the others.
-constexpr double LeastLiveGroups = 0.5;
+// Time to join a group for a host that was in another group of the model since its start.
+constexpr Duration WarmJoinTime = std::chrono::milliseconds(200);
+// Loads complete a group if at most size / MaxMissingDivisor of its hosts are missing: with fewer
+// hosts waiting a load is not worthwhile, since other hosts may come or go meanwhile.
+constexpr std::size_t MaxMissingDivisor = 2;
+// A model without live groups counts as having this many when models are compared.
+constexpr double MinLiveGroups = 0.5;
 
 } // namespace
 
 // ---- formation
 
 void GroupPlanner::form_groups(Time now) {
-    if (ever_open_.empty() && now - hosts_changed_ < SettleTime)
+    if (models_opened_.empty() && now - hosts_changed_ < SettleTime)
         return;
-    if (ever_open_.empty() && !traffic_ && assignment_.empty())
+    if (models_opened_.empty() && !traffic_started_ && assignment_.empty())
         assignment_ = assign_models(cold_hosts(now), engine_.models);
-    std::set<std::string> hopeless;
-    while (const ModelShape* model = neediest(hopeless))
+    std::set<std::string> unformable;
+    while (const ModelShape* model = least_supplied(unformable))
         if (!form_one(*shape(model->name), now))
-            hopeless.insert(model->name);
+            unformable.insert(model->name);
 }
 
-// The model that has the smallest part of the groups that it should have; a larger model first
-// where two have equal parts.
-const ModelShape* GroupPlanner::neediest(const std::set<std::string>& hopeless) const {
+// The model with the lowest ratio of live groups to its target. Of two models with equal ratios the
+// one with larger groups goes first.
+const ModelShape* GroupPlanner::least_supplied(const std::set<std::string>& unformable) const {
     const ModelShape* found = nullptr;
     double lowest = std::numeric_limits<double>::max();
     for (const ModelShape& model : engine_.models) {
-        if (hopeless.contains(model.name))
+        if (unformable.contains(model.name))
             continue;
         const double have =
             static_cast<double>(live_groups(model.name)) / static_cast<double>(target(model));
@@ -64,11 +66,11 @@
     return report.staged.empty() && found != assignment_.end() && found->second == model;
 }
 
-// Every group that can be formed within a domain is formed: a host that waits as a spare serves
-// nobody, and the first loss in a domain leaves spares enough for the next ones.
+// Forms every group that fits into a domain: a spare host serves no requests, and the survivors of
+// the first lost member in a domain are enough spares for the next losses.
 bool GroupPlanner::form_one(const ModelShape& model, Time now) {
     const std::string& name = model.name;
-    const bool from_nothing = !ever_open_.contains(name);
+    const bool first_of_model = !models_opened_.contains(name);
     Hosts hosts = best_domain(model, now);
     if (hosts.empty())
         hosts = across_domains(model, now);
@@ -81,54 +83,56 @@
         return rank(a) < rank(b);
     });
     hosts.resize(std::min<std::size_t>(hosts.size(), model.size));
-    form(model, hosts, from_nothing ? "first group" : "below its share", now);
+    form(model, hosts, first_of_model ? "first group of the model" : "fewer groups than its share",
+         now);
     return true;
 }
 
 const std::map<std::string, GroupPlanner::Hosts>&
-GroupPlanner::fit_by_domain(const ModelShape& model, Time now) const {
-    const auto known = fit_.find(model.name);
-    if (known != fit_.end())
+GroupPlanner::eligible_by_domain(const ModelShape& model, Time now) const {
+    const auto known = eligible_.find(model.name);
+    if (known != eligible_.end())
         return known->second;
-    std::map<std::string, Hosts>& fit = fit_[model.name];
-    const bool from_nothing = !ever_open_.contains(model.name);
+    std::map<std::string, Hosts>& eligible = eligible_[model.name];
+    const bool first_of_model = !models_opened_.contains(model.name);
     for (const auto& [domain, hosts] : free_by_domain(now))
         for (const EndpointReport* report : hosts)
             if (staged(*report, model.name) ||
-                (from_nothing && !traffic_ && assigned(*report, model.name)))
-                fit[domain].push_back(report);
-    return fit;
+                (first_of_model && !traffic_started_ && assigned(*report, model.name)))
+                eligible[domain].push_back(report);
+    return eligible;
 }
 
-// Free hosts for a group of the model in the domain with the fewest groups of it, and of those in
-// the one with the most such hosts. Empty where no domain has enough.
+// The eligible hosts of the domain with the fewest groups of the model. Of several such domains the
+// one with the most eligible hosts is taken. Empty if no domain has enough hosts.
 GroupPlanner::Hosts GroupPlanner::best_domain(const ModelShape& model, Time now) const {
     const Hosts* best = nullptr;
     std::size_t best_groups = 0;
-    for (const auto& [domain, fit] : fit_by_domain(model, now)) {
-        if (fit.size() < model.size)
+    for (const auto& [domain, eligible] : eligible_by_domain(model, now)) {
+        if (eligible.size() < model.size)
             continue;
         const std::size_t groups = live_groups(model.name, domain);
         const bool better = best == nullptr || groups < best_groups ||
-                            (groups == best_groups && fit.size() > best->size());
+                            (groups == best_groups && eligible.size() > best->size());
         if (!better)
             continue;
         best_groups = groups;
-        best = &fit;
+        best = &eligible;
     }
     return best == nullptr ? Hosts{} : *best;
 }
 
-// Across domains a group is several times slower, which is still better than none. Beside groups
-// that stand it does harm: it takes the spares that would mend them. It takes hosts first that are
-// of no use as spares, in domains without a group of the model. While one closes so that a domain
-// can hold it, its hosts are waited for: of the others one more would be put together across
-// domains, which closes in turn for the first one's hosts. No group of the model served for six
-// seconds of a played day. What closes for another reason is not waited for: that takes up to ten
-// seconds.
+// A group across domains is several times slower than one within a domain, so it is formed only if
+// no group of the model is live: beside live groups it would take the spares that repair them.
+// Hosts in domains without a group of the model go first, since they are of no use as spares there.
+//
+// While a group across domains closes to be replaced by one within a domain, no other group across
+// domains is formed. Otherwise the remaining hosts would form one that closes in turn once the
+// hosts of the first one are free; in a simulation no group of the model served for six seconds. A
+// group that closes for another reason is not waited for, since that takes up to ten seconds.
 GroupPlanner::Hosts GroupPlanner::across_domains(const ModelShape& model, Time now) const {
     Hosts hosts;
-    if (live_groups(model.name) > 0 || is_gathering(model.name))
+    if (live_groups(model.name) > 0 || is_consolidating(model.name))
         return hosts;
     for (const auto& [domain, free] : free_by_domain(now))
         for (const EndpointReport* report : free)
@@ -146,7 +150,7 @@
 Duration GroupPlanner::join_time(const EndpointReport& report, const ModelShape& model) const {
     const auto host = hosts_.find(report.id);
     if (host != hosts_.end() && host->second.warm == model.name)
-        return WarmJoin;
+        return WarmJoinTime;
     return staged(report, model.name) ? model.warm_join : model.load;
 }
 
@@ -159,7 +163,7 @@
     group.name = group_name(model.name, epoch, group.warm_up);
     group.model = model.name;
     group.since = now;
-    group.ours = true;
+    group.formed_here = true;
     group.may_have_opened = false;
     if (live_ && !group.warm_up) {
         LiveGroups& counts = (*live_)[model.name];
@@ -169,17 +173,18 @@
     Duration longest{};
     for (const EndpointReport* report : hosts) {
         group.members.push_back(report->id);
-        note_member(report->id, epoch);
+        record_membership(report->id, epoch);
         longest = std::max(longest, join_time(*report, model));
     }
-    const auto slower = static_cast<int>(hosts_known_ / std::max(1u, engine_.loads_at_once) + 1);
-    group.expected = now + (longest == model.load ? longest * slower : longest) + bounds_.beat;
+    const auto slowdown = static_cast<int>(known_hosts_ / std::max(1u, engine_.loads_at_once) + 1);
+    group.expected_ready =
+        now + (longest == model.load ? longest * slowdown : longest) + bounds_.heartbeat_interval;
     for (const EndpointReport* report : hosts) {
         if (!staged(*report, model.name))
             loads_.begun(now);
-        no_longer_free(*report);
+        remove_from_free(*report);
     }
-    note(group.warm_up ? "warming" : "formed", group.name, group.members.front(), why);
+    add_event(group.warm_up ? "warming" : "formed", group.name, group.members.front(), why);
     if (group.warm_up) {
         join_members(group, now);
         return;
@@ -188,13 +193,13 @@
     changes_.formed[epoch] = {group.name, group.members};
 }
 
-// A host alone is never told to open, so it needs no place in the log.
+// A single warm-up host is never ordered to open, so its group needs no record in the log.
 void GroupPlanner::join_members(Group& group, Time now) {
     for (const EndpointId& id : group.members) {
         const EndpointReport* report = report_of(id);
         if (report != nullptr && report->phase == EndpointPhase::Serving && alive(id, now))
             continue;
-        bury(group, "member " + text_of(id) + " was lost before it was ordered", now);
+        dissolve(group, "member " + text_of(id) + " was lost before its join was ordered", now);
         return;
     }
     group.phase = Phase::Forming;
@@ -217,11 +222,11 @@
     return best;
 }
 
-// Hosts of the same domain that are spares of the model, or will be once they have its weights.
-std::size_t GroupPlanner::spares_beside(const EndpointReport& report, const std::string& model,
-                                        Time now) const {
+// Other hosts of the same domain that are spares of the model, or will be once they have staged it.
+std::size_t GroupPlanner::other_spares(const EndpointReport& report, const std::string& model,
+                                       Time now) const {
     std::size_t spares = 0;
-    for (const EndpointReport* other : hosts_in(report.domain))
+    for (const EndpointReport* other : hosts_in_domain(report.domain))
         spares += other->id != report.id && is_staging(other->id, model, now) ? 1 : 0;
     const auto free = free_by_domain(now).find(report.domain);
     if (free != free_by_domain(now).end())
@@ -232,7 +237,7 @@
 
 double GroupPlanner::staging_score(const EndpointReport& report, const ModelShape& model,
                                    Time now) const {
-    const std::size_t spares = spares_beside(report, model.name, now);
+    const std::size_t spares = other_spares(report, model.name, now);
     const std::size_t here = live_groups(model.name, report.domain) * model.size;
     const bool wanted = live_groups(model.name) < target(model);
     double score = static_cast<double>(here) / static_cast<double>(1 + 2 * spares);
@@ -240,22 +245,22 @@
         score += 2.0 * model.size;
     else if (wanted)
         score += static_cast<double>(spares + 1) / model.size;
-    // A model that lacks groups everywhere goes before a local spare of one that has enough.
-    const double live = std::max(LeastLiveGroups, static_cast<double>(live_groups(model.name)));
+    // A model that lacks groups takes precedence over a local spare for a model that has enough.
+    const double live = std::max(MinLiveGroups, static_cast<double>(live_groups(model.name)));
     return score * (static_cast<double>(target(model)) / live);
 }
 
 void GroupPlanner::stage_spares(Time now) {
-    if (ever_open_.empty() && now - hosts_changed_ < SettleTime)
+    if (models_opened_.empty() && now - hosts_changed_ < SettleTime)
         return;
     for (const EndpointReport* report : free_hosts(now)) {
         if (!report->staged.empty())
             continue;
-        if (traffic_ && !loads_.allows(now))
+        if (traffic_started_ && !loads_.allows(now))
             return;
-        const auto given = assignment_.find(report->id);
+        const auto assignment = assignment_.find(report->id);
         const std::string model =
-            given != assignment_.end() ? given->second : model_to_stage(*report, now);
+            assignment != assignment_.end() ? assignment->second : model_to_stage(*report, now);
         if (model.empty())
             return;
         stage(*report, *shape(model), model, now);
@@ -269,7 +274,7 @@
     host.staging_until = now + 2 * model.load + FormingSlack;
     loads_.begun(now);
     order(OrderKind::Stage, report, nullptr).model = model.name;
-    note("staging", "", report.id, why);
+    add_event("staging", "", report.id, why);
 }
 
 bool GroupPlanner::is_staging(const EndpointId& id, const std::string& model, Time now) const {
@@ -278,22 +283,22 @@
            host->second.staging == model && alive(id, now);
 }
 
-// Free hosts that are too few for a group of their model are of no use until one more is there. If
-// that takes no more than a few hosts of their domain that are too few for a group of another
-// model, those load it: a load takes seconds, and the next newcomer may be long in coming.
+// Free hosts that are too few for a group of their model are stranded until another host joins
+// them. If a few hosts are missing, and enough hosts of the domain are stranded with another model,
+// those load the weights: a load takes seconds, while a new host may take much longer to register.
 void GroupPlanner::restage_stranded(Time now) {
-    if (!traffic_)
+    if (!traffic_started_)
         return;
     std::vector<const ModelShape*> scarce;
     for (const ModelShape& model : engine_.models)
-        if (supply(model) < 1)
+        if (supply_ratio(model) < 1)
             scarce.push_back(&model);
     std::stable_sort(scarce.begin(), scarce.end(), [&](const ModelShape* a, const ModelShape* b) {
-        return supply(*a) < supply(*b);
+        return supply_ratio(*a) < supply_ratio(*b);
     });
     const std::map<std::string, Hosts> free_at_first = free_by_domain(now);
     for (const auto& [domain, free] : free_at_first) {
-        // What the last loads bring is seen first: models would take hosts from each other.
+        // Loads in progress finish first. Otherwise models would take hosts from each other.
         if (is_restaging(domain, now))
             continue;
         for (const ModelShape* model : scarce)
@@ -302,13 +307,13 @@
     }
 }
 
-// Groups of the model that there are, as a part of those that there should be.
-double GroupPlanner::supply(const ModelShape& model) const {
+// Ratio of the model's live groups to its target.
+double GroupPlanner::supply_ratio(const ModelShape& model) const {
     return static_cast<double>(live_groups(model.name)) / static_cast<double>(target(model));
 }
 
 bool GroupPlanner::is_restaging(const std::string& domain, Time now) const {
-    const Hosts& hosts = hosts_in(domain);
+    const Hosts& hosts = hosts_in_domain(domain);
     return std::any_of(hosts.begin(), hosts.end(), [&](const EndpointReport* report) {
         const auto host = hosts_.find(report->id);
         return !report->staged.empty() && host != hosts_.end() &&
@@ -325,33 +330,33 @@
         else if (!report->staged.empty())
             others[report->staged.back()].push_back(report);
     }
-    // Whoever loads the model is not free meanwhile.
-    for (const EndpointReport* report : hosts_in(free.front()->domain))
+    // Hosts that load the model are not free meanwhile.
+    for (const EndpointReport* report : hosts_in_domain(free.front()->domain))
         ready += is_staging(report->id, model.name, now) ? 1 : 0;
     if (ready == 0 || ready >= model.size)
         return false;
     std::size_t missing = model.size - ready;
-    if (missing > model.size / LeastPartWaiting)
+    if (missing > model.size / MaxMissingDivisor)
         return false;
-    Hosts useless;
+    Hosts stranded;
     for (const auto& [other, hosts] : others) {
         const ModelShape* shape_of_other = shape(other);
         if (shape_of_other == nullptr || hosts.size() < shape_of_other->size)
-            useless.insert(useless.end(), hosts.begin(), hosts.end());
+            stranded.insert(stranded.end(), hosts.begin(), hosts.end());
     }
-    if (useless.size() < missing)
+    if (stranded.size() < missing)
         return false;
-    for (const EndpointReport* report : useless) {
+    for (const EndpointReport* report : stranded) {
         if (missing == 0 || !loads_.allows(now))
             break;
-        stage(*report, model, model.name + ", for those that wait for one more", now);
+        stage(*report, model, model.name + ", to complete a group of waiting hosts", now);
         --missing;
     }
     return true;
 }
 
-// Joining takes a fifth of a second for a host that was in a group of the model since its start,
-// and over a second for one that has the weights on its disk only.
+// Loads the weights of spare hosts into memory: joining then takes 0.2 s, and over a second for a
+// host that has them only on its disk.
 void GroupPlanner::warm_spares(Time now) {
     for (const EndpointReport* report : free_hosts(now)) {
         if (report->staged.empty())
@@ -361,13 +366,13 @@
         if (model == nullptr || model->size == 1 || forming ||
             hosts_[report->id].warm == model->name)
             continue;
-        form(*model, {report}, "spare", now);
+        form(*model, {report}, "spare host", now);
     }
 }
 
 bool GroupPlanner::is_warming(const EndpointId& id) const {
-    const auto epochs = groups_of_.find(id);
-    if (epochs == groups_of_.end())
+    const auto epochs = groups_by_member_.find(id);
+    if (epochs == groups_by_member_.end())
         return false;
     return std::any_of(epochs->second.begin(), epochs->second.end(), [&](Epoch epoch) {
         const auto group = groups_.find(epoch);
--- a/src/process/groupplanner.cpp
+++ b/src/process/groupplanner.cpp
@@ -1,3 +1,5 @@
+// The state that GroupPlanner keeps of endpoints and groups, and the planning round.
+
 #include "process/groupplanner.h"
 
 #include "process/groupname.h"
@@ -9,20 +11,21 @@
 
 namespace {
 
-// A host that has missed two reports is taken for no new group.
-constexpr int BeatsMissed = 2;
-constexpr Duration BeatSlack = std::chrono::milliseconds(400);
-constexpr Duration SilentFor = std::chrono::milliseconds(3000);
-// All members answer control, and yet nothing moves: they may be cut off from each other.
-constexpr int SoundRoundsBelieved = 6;
-constexpr Duration DeadKept = std::chrono::seconds(60);
-// Longer than a registry keeps an endpoint that is silent.
-constexpr Duration UnheardOf = std::chrono::seconds(150);
+// A host that has missed two heartbeats joins no new group.
+constexpr int MissedHeartbeats = 2;
+constexpr Duration HeartbeatSlack = std::chrono::milliseconds(400);
+constexpr Duration UnresponsivePeriod = std::chrono::milliseconds(3000);
+// A group that stays stalled is dissolved after this many rounds in which all members answered: the
+// members reach control, but may be partitioned from each other.
+constexpr int MaxAnsweredRounds = 6;
+constexpr Duration DissolvedRetention = std::chrono::seconds(60);
+// Longer than a registry keeps an endpoint that sends no reports.
+constexpr Duration AbsenceTimeout = std::chrono::seconds(150);
 
 } // namespace
 
 GroupPlanner::GroupPlanner(std::string service, GroupPlannerConfig bounds, bool first_start)
-    : service_(std::move(service)), bounds_(bounds), traffic_(!first_start) {}
+    : service_(std::move(service)), bounds_(bounds), traffic_started_(!first_start) {}
 
 void GroupPlanner::configure(const EngineCost& engine) {
     engine_ = engine;
@@ -36,31 +39,31 @@
     return found == engine_.models.end() ? nullptr : &*found;
 }
 
-// ---- what the endpoints say
+// ---- reports of endpoints
 
 void GroupPlanner::observe(const EndpointReport& report, Time now) {
     Host& host = hosts_[report.id];
     const Membership& membership = report.membership;
     if (host.staging == (report.staged.empty() ? "" : report.staged.back()))
         host.staging_until = {};
-    host.seen = std::max(host.seen, membership.epoch);
-    note_departures(report);
+    host.highest_epoch = std::max(host.highest_epoch, membership.epoch);
+    record_departures(report);
     if (membership.epoch == NoEpoch)
         return;
     Group& group = group_of(membership, now);
-    group.told.insert(report.id);
+    group.reported.insert(report.id);
     if (group.members.size() <= membership.rank)
         group.members.resize(membership.rank + 1);
     EndpointId& member = group.members[membership.rank];
     if (member.started_before(report.id))
-        bury(group, "another start took the place of member " + text_of(member), now);
+        dissolve(group, "another start took the place of member " + text_of(member), now);
     if (!report.id.started_before(member))
         member = report.id;
-    note_member(report.id, group.epoch);
+    record_membership(report.id, group.epoch);
     if (membership.state != MemberState::Joining)
         host.warm = group.model;
     if (membership.state == MemberState::Open) {
-        ever_open_.insert(group.model);
+        models_opened_.insert(group.model);
         group.may_have_opened = true;
         if (group.phase == Phase::Forming) {
             group.phase = Phase::Open;
@@ -73,23 +76,24 @@
     }
 }
 
-// By its own words the member was in the group and is no more: the order that took it out had a
-// higher fence than the one that let it in, so that can not come again. Who has deregistered says
-// nothing of its group, and may serve it on.
-void GroupPlanner::note_departures(const EndpointReport& report) {
-    const auto epochs = groups_of_.find(report.id);
-    if (epochs == groups_of_.end() || report.phase == EndpointPhase::Gone)
+// The member reported that it was in the group, and now reports that it is not. The order that
+// removed it had a higher fence than its join, so a delayed copy of the join can not bring it back.
+// The report of an endpoint that has deregistered does not name its group, which it may still
+// serve.
+void GroupPlanner::record_departures(const EndpointReport& report) {
+    const auto epochs = groups_by_member_.find(report.id);
+    if (epochs == groups_by_member_.end() || report.phase == EndpointPhase::Gone)
         return;
     for (const Epoch epoch : epochs->second) {
         const auto group = groups_.find(epoch);
         if (group != groups_.end() && epoch != report.membership.epoch &&
-            group->second.told.contains(report.id))
-            group->second.out.insert(report.id);
+            group->second.reported.contains(report.id))
+            group->second.departed.insert(report.id);
     }
 }
 
-// A group that another leader formed is known from its members' reports alone, so it may have been
-// put into service.
+// A group of another leader may be known only from the reports of its members. Such a group may
+// have been opened.
 GroupPlanner::Group& GroupPlanner::group_of(const Membership& membership, Time now) {
     Group& group = groups_[membership.epoch];
     if (group.epoch != NoEpoch)
@@ -103,48 +107,50 @@
     return group;
 }
 
-void GroupPlanner::note_member(const EndpointId& id, Epoch epoch) {
-    std::vector<Epoch>& epochs = groups_of_[id];
+void GroupPlanner::record_membership(const EndpointId& id, Epoch epoch) {
+    std::vector<Epoch>& epochs = groups_by_member_[id];
     if (std::find(epochs.begin(), epochs.end(), epoch) == epochs.end())
         epochs.push_back(epoch);
 }
 
-// What this host formed and the log does not have was never ordered.
+// No orders were sent for a group that this host proposed and that is not in the log, so it is
+// dropped.
 void GroupPlanner::take_over(std::uint64_t term, Time now, const PlannedGroups& recorded,
                              bool several_recent_leaders) {
     term_ = term;
     counter_ = 0;
     took_over_ = now;
-    // Loads before the first request are not counted, whoever began them.
-    if (traffic_)
+    // Loads before the first request do not count, whichever leader started them.
+    if (traffic_started_)
         loads_.assume_begun(several_recent_leaders, now);
     changes_ = {};
     for (auto& [id, host] : hosts_)
-        host.ordered = false;
+        host.order_in_flight = false;
     std::erase_if(groups_, [&](const auto& pair) {
         return pair.second.phase == Phase::Proposed && !recorded.contains(pair.first);
     });
     for (auto& [epoch, group] : groups_) {
-        group.ours = false;
+        group.formed_here = false;
         group.may_have_opened = !group.warm_up;
-        group.logged = false;
-        group.ending = false;
+        group.in_log = false;
+        group.removal_proposed = false;
         group.since = now;
-        group.awaited.clear();
+        group.pending_probes.clear();
     }
     for (const auto& [epoch, group] : recorded)
         adopt(epoch, group, now);
 }
 
-// A group that some leader may have ordered, whether its members have told of it or not.
+// Adds a group that an earlier leader may have ordered, whether its members have reported it or
+// not.
 GroupPlanner::Group& GroupPlanner::adopt(Epoch epoch, const PlannedGroup& recorded, Time now) {
     Group& group = group_of({recorded.name, epoch, 0, MemberState::Joining}, now);
-    group.logged = true;
+    group.in_log = true;
     group.members = recorded.members;
     if (group.phase == Phase::Proposed)
         group.phase = Phase::Forming;
     for (const EndpointId& member : recorded.members)
-        note_member(member, epoch);
+        record_membership(member, epoch);
     return group;
 }
 
@@ -156,9 +162,9 @@
 
 void GroupPlanner::answered(const EndpointOrder& order, OrderAnswer answer, Time now) {
     Host& host = hosts_[order.endpoint];
-    host.ordered = false;
+    host.order_in_flight = false;
     if (answer == OrderAnswer::Silent || answer == OrderAnswer::Elsewhere)
-        host.silent_until = now + SilentFor;
+        host.unresponsive_until = now + UnresponsivePeriod;
     if (answer != OrderAnswer::Taken && order.kind == OrderKind::Stage)
         host.staging_until = {};
     const auto found = groups_.find(order.epoch);
@@ -166,32 +172,33 @@
         return;
     Group& group = found->second;
     if (order.kind == OrderKind::Join && answer == OrderAnswer::Taken)
-        host.seen = std::max(host.seen, order.epoch);
+        host.highest_epoch = std::max(host.highest_epoch, order.epoch);
     if (order.kind == OrderKind::Join && answer != OrderAnswer::Taken &&
         group.phase == Phase::Forming)
-        bury(group, "join of " + text_of(order.endpoint) + " was " + std::string(name_of(answer)),
-             now);
+        dissolve(group,
+                 "join of " + text_of(order.endpoint) + " failed: " + std::string(name_of(answer)),
+                 now);
     if (order.kind == OrderKind::Close && answer != OrderAnswer::Taken)
-        bury(group, "close was " + std::string(name_of(answer)), now);
-    // Whoever answers that it is not in the group has seen this order's fence as well, and refuses
-    // what was ordered before.
+        dissolve(group, "close failed: " + std::string(name_of(answer)), now);
+    // An endpoint that answers that it is not in the group has also taken over the fence of this
+    // order, so it refuses all earlier orders.
     const EndpointReport* report = registry_ == nullptr ? nullptr : report_of(order.endpoint);
-    const bool in_it = report != nullptr && report->membership.epoch == order.epoch;
+    const bool is_member = report != nullptr && report->membership.epoch == order.epoch;
     if (order.kind == OrderKind::Leave &&
-        (answer == OrderAnswer::Taken || (answer == OrderAnswer::Unfit && !in_it)))
-        group.out.insert(order.endpoint);
+        (answer == OrderAnswer::Taken || (answer == OrderAnswer::Unfit && !is_member)))
+        group.departed.insert(order.endpoint);
 }
 
 void GroupPlanner::probed(const EndpointId& id, bool alive, Time now) {
     if (!alive)
-        hosts_[id].silent_until = now + SilentFor;
+        hosts_[id].unresponsive_until = now + UnresponsivePeriod;
     for (auto& [epoch, group] : groups_) {
-        if (group.awaited.erase(id) == 0 || group.phase != Phase::Open)
+        if (group.pending_probes.erase(id) == 0 || group.phase != Phase::Open)
             continue;
         if (!alive)
-            bury(group, "member " + text_of(id) + " does not answer", now);
-        else if (group.awaited.empty() && ++group.sound_rounds >= SoundRoundsBelieved)
-            bury(group, "stands still though all members answer", now);
+            dissolve(group, "member " + text_of(id) + " does not answer", now);
+        else if (group.pending_probes.empty() && ++group.answered_rounds >= MaxAnsweredRounds)
+            dissolve(group, "stands still though all members answer", now);
     }
 }
 
@@ -199,7 +206,7 @@
     return std::exchange(probes_, {});
 }
 
-// ---- facts
+// ---- queries
 
 const EndpointReport* GroupPlanner::report_of(const EndpointId& id) const {
     const Registry::Item* item = registry_->find(id);
@@ -211,56 +218,57 @@
     if (item == nullptr || item->report.phase == EndpointPhase::Gone)
         return false;
     const auto host = hosts_.find(id);
-    if (host != hosts_.end() && now < host->second.silent_until &&
-        item->last_contact < host->second.silent_until - SilentFor)
+    if (host != hosts_.end() && now < host->second.unresponsive_until &&
+        item->last_contact < host->second.unresponsive_until - UnresponsivePeriod)
         return false;
-    return now - item->last_contact < BeatsMissed * bounds_.beat + BeatSlack;
+    return now - item->last_contact <
+           MissedHeartbeats * bounds_.heartbeat_interval + HeartbeatSlack;
 }
 
-// The member is not in the group, and nothing that is under way can bring it back: it has confirmed
-// that it left, or joined a later group and so refuses this one for good.
-bool GroupPlanner::is_out(const Group& group, const EndpointId& member) const {
-    if (group.out.contains(member))
+// The member is not in the group, and no order in flight can bring it back: it has confirmed that
+// it left, or it has joined a later group and so refuses this epoch.
+bool GroupPlanner::has_left(const Group& group, const EndpointId& member) const {
+    if (group.departed.contains(member))
         return true;
     const auto host = hosts_.find(member);
-    return host != hosts_.end() && host->second.seen > group.epoch;
+    return host != hosts_.end() && host->second.highest_epoch > group.epoch;
 }
 
-// Its process is no more: another start has its name or its address, or nothing was heard of it for
-// as long as this host leads, and that is long.
-bool GroupPlanner::has_ended(const EndpointId& id, Time now) const {
+// The endpoint has exited: a newer incarnation has its name or its address, or this host has led
+// for longer than a registry keeps an endpoint and has received no report of it.
+bool GroupPlanner::has_exited(const EndpointId& id, Time now) const {
     const EndpointReport* report = report_of(id);
-    return report == nullptr ? now - took_over_ > UnheardOf : registry_->replaced(*report);
+    return report == nullptr ? now - took_over_ > AbsenceTimeout : registry_->replaced(*report);
 }
 
-// The lead can work on no request of this group any more, and never will. Silence is no such proof,
-// since a lead may be cut off from control alone and serve the entry hosts; nor is having
-// deregistered, since an endpoint finishes what it has after that.
-bool GroupPlanner::lead_is_out(const Group& group) const {
+// The lead can never again work on requests of this group. Missing reports do not prove that, since
+// a lead that is partitioned from control may still serve the entry hosts. Neither does
+// deregistration, since an endpoint finishes its requests after it.
+bool GroupPlanner::lead_stopped(const Group& group) const {
     if (group.members.empty() || group.members.front().empty())
         return false;
-    if (group.closed || is_out(group, group.members.front()))
+    if (group.closed || has_left(group, group.members.front()))
         return true;
     const EndpointReport* lead = report_of(group.members.front());
     return lead != nullptr && lead->membership.epoch == group.epoch &&
            lead->membership.state == MemberState::Broken;
 }
 
-// Whether a member may be in no other group yet. It is set free by facts that can not be undone: it
-// has left for good, or the lead can not serve the group any more, or this leader formed the group
-// and never told it to open. The age of a word is no such fact. Groups of other leaders are known
-// from the log, which has each from before its first order.
+// Whether the group still keeps a member from joining another one. Only facts that can not be
+// undone release the member: it has left for good, the lead can not serve the group any more, or
+// this leader formed the group and never ordered it to open. The age of a report is no such fact.
+// Groups of other leaders are known from the log, which holds each group before its first order.
 bool GroupPlanner::binds(const Group& group, const EndpointReport& member) const {
-    return group.may_have_opened && !is_out(group, member.id) && !lead_is_out(group);
+    return group.may_have_opened && !has_left(group, member.id) && !lead_stopped(group);
 }
 
-bool GroupPlanner::binds_nobody(const Group& group, Time now) const {
-    if (group.phase != Phase::Dead)
+bool GroupPlanner::binds_no_member(const Group& group, Time now) const {
+    if (group.phase != Phase::Dissolved)
         return false;
-    if (!group.may_have_opened || lead_is_out(group))
+    if (!group.may_have_opened || lead_stopped(group))
         return true;
     return std::all_of(group.members.begin(), group.members.end(), [&](const EndpointId& id) {
-        return is_out(group, id) || has_ended(id, now);
+        return has_left(group, id) || has_exited(id, now);
     });
 }
 
@@ -272,10 +280,10 @@
     if (found == hosts_.end())
         return false;
     const Host& host = found->second;
-    if (host.ordered || now < host.staging_until || now < host.silent_until)
+    if (host.order_in_flight || now < host.staging_until || now < host.unresponsive_until)
         return false;
-    const auto epochs = groups_of_.find(report.id);
-    if (epochs == groups_of_.end())
+    const auto epochs = groups_by_member_.find(report.id);
+    if (epochs == groups_by_member_.end())
         return true;
     for (const Epoch epoch : epochs->second) {
         const auto known = groups_.find(epoch);
@@ -286,7 +294,7 @@
             std::find(group.members.begin(), group.members.end(), report.id) != group.members.end();
         if (!member)
             continue;
-        if ((group.phase != Phase::Dead && !group.warm_up) || binds(group, report))
+        if ((group.phase != Phase::Dissolved && !group.warm_up) || binds(group, report))
             return false;
     }
     return true;
@@ -300,7 +308,7 @@
     if (free_)
         return *free_;
     free_.emplace();
-    for (const auto& [domain, hosts] : in_domain_)
+    for (const auto& [domain, hosts] : hosts_by_domain_)
         for (const EndpointReport* report : hosts)
             if (is_free(*report, now))
                 (*free_)[domain].push_back(report);
@@ -315,7 +323,7 @@
     return all;
 }
 
-void GroupPlanner::no_longer_free(const EndpointReport& report) {
+void GroupPlanner::remove_from_free(const EndpointReport& report) {
     const auto drop = [&](std::map<std::string, Hosts>& domains) {
         const auto domain = domains.find(report.domain);
         if (domain == domains.end())
@@ -326,20 +334,20 @@
     };
     if (free_)
         drop(*free_);
-    for (auto& [model, domains] : fit_)
+    for (auto& [model, domains] : eligible_)
         drop(domains);
 }
 
-void GroupPlanner::recount() {
+void GroupPlanner::reset_counts() {
     free_.reset();
-    fit_.clear();
+    eligible_.clear();
     live_.reset();
 }
 
-const GroupPlanner::Hosts& GroupPlanner::hosts_in(const std::string& domain) const {
+const GroupPlanner::Hosts& GroupPlanner::hosts_in_domain(const std::string& domain) const {
     static const Hosts none;
-    const auto found = in_domain_.find(domain);
-    return found == in_domain_.end() ? none : found->second;
+    const auto found = hosts_by_domain_.find(domain);
+    return found == hosts_by_domain_.end() ? none : found->second;
 }
 
 bool GroupPlanner::is_live(const Group& group, const std::string& model) {
@@ -377,17 +385,17 @@
     return found == counts.by_domain.end() ? 0 : found->second;
 }
 
-bool GroupPlanner::is_gathering(const std::string& model) const {
+bool GroupPlanner::is_consolidating(const std::string& model) const {
     return std::any_of(groups_.begin(), groups_.end(), [&](const auto& pair) {
         const Group& group = pair.second;
-        return group.model == model && group.phase == Phase::Closing && group.gathering;
+        return group.model == model && group.phase == Phase::Closing && group.consolidating;
     });
 }
 
 std::vector<Epoch> GroupPlanner::dissolved(const Registry& registry) const {
     std::vector<Epoch> epochs;
     for (const auto& [epoch, group] : groups_) {
-        if (group.phase != Phase::Dead || group.members.empty())
+        if (group.phase != Phase::Dissolved || group.members.empty())
             continue;
         const Registry::Item* lead = registry.find(group.members.front());
         if (lead != nullptr && lead->report.leads_open_group() &&
@@ -419,24 +427,24 @@
     return text;
 }
 
-// What all decisions of a round ask for is counted once: a leader that plans for longer than its
-// heartbeats may be late loses its office.
+// Computes once what all decisions of a round use: a leader whose planning delays its heartbeats
+// past the election timeout loses its leadership.
 void GroupPlanner::begin_round(const Registry& registry, Time now) {
     registry_ = &registry;
-    recount();
-    in_domain_.clear();
+    reset_counts();
+    hosts_by_domain_.clear();
     serving_ = 0;
     std::size_t known = 0;
     for (const auto& [id, item] : registry.items()) {
         if (item.report.service != service_)
             continue;
         ++known;
-        in_domain_[item.report.domain].push_back(&item.report);
+        hosts_by_domain_[item.report.domain].push_back(&item.report);
         serving_ += item.report.phase == EndpointPhase::Serving && alive(id, now) ? 1 : 0;
     }
-    if (known == hosts_known_)
+    if (known == known_hosts_)
         return;
-    hosts_known_ = known;
+    known_hosts_ = known;
     hosts_changed_ = now;
 }
 
@@ -460,42 +468,43 @@
         order.model = group->model;
         order.members = group->members;
     }
-    hosts_[report.id].ordered = true;
-    no_longer_free(report);
+    hosts_[report.id].order_in_flight = true;
+    remove_from_free(report);
     orders_.push_back(std::move(order));
     return orders_.back();
 }
 
-void GroupPlanner::note(std::string what, const std::string& group, const EndpointId& endpoint,
-                        std::string why) {
+void GroupPlanner::add_event(std::string what, const std::string& group, const EndpointId& endpoint,
+                             std::string why) {
     events_.push_back({std::move(what), group, endpoint, std::move(why)});
 }
 
-void GroupPlanner::bury(Group& group, const std::string& why, Time now) {
-    if (group.phase == Phase::Dead)
+void GroupPlanner::dissolve(Group& group, const std::string& why, Time now) {
+    if (group.phase == Phase::Dissolved)
         return;
-    note("dissolved", group.name, group.members.empty() ? "" : group.members.front(), why);
-    group.phase = Phase::Dead;
+    add_event("dissolved", group.name, group.members.empty() ? "" : group.members.front(), why);
+    group.phase = Phase::Dissolved;
     group.since = now;
-    group.awaited.clear();
-    recount();
+    group.pending_probes.clear();
+    reset_counts();
 }
 
-// What is kept of endpoints goes with their groups, or it would grow for as long as they come and
-// go.
+// The state of endpoints is removed along with their groups. Otherwise it would grow with every
+// endpoint that ever registered.
 void GroupPlanner::forget_old_groups(Time now) {
     const std::size_t forgotten = std::erase_if(groups_, [&](const auto& pair) {
         const Group& group = pair.second;
-        return group.phase == Phase::Dead && !group.logged && now - group.since > DeadKept;
+        return group.phase == Phase::Dissolved && !group.in_log &&
+               now - group.since > DissolvedRetention;
     });
     if (forgotten == 0)
         return;
-    for (auto& [id, epochs] : groups_of_)
+    for (auto& [id, epochs] : groups_by_member_)
         std::erase_if(epochs, [&](Epoch epoch) { return !groups_.contains(epoch); });
-    std::erase_if(groups_of_, [](const auto& pair) { return pair.second.empty(); });
+    std::erase_if(groups_by_member_, [](const auto& pair) { return pair.second.empty(); });
     std::erase_if(hosts_, [&](const auto& pair) {
-        return registry_->find(pair.first) == nullptr && !pair.second.ordered &&
-               !groups_of_.contains(pair.first);
+        return registry_->find(pair.first) == nullptr && !pair.second.order_in_flight &&
+               !groups_by_member_.contains(pair.first);
     });
 }
 
@@ -523,27 +532,28 @@
     orders_.clear();
     for (const Epoch epoch : changes.ended)
         if (const auto group = groups_.find(epoch); group != groups_.end())
-            group->second.logged = false;
+            group->second.in_log = false;
     for (const auto& [epoch, formed] : changes.formed) {
         const auto group = groups_.find(epoch);
         if (group == groups_.end())
             continue;
-        group->second.logged = true;
+        group->second.in_log = true;
         if (group->second.phase == Phase::Proposed)
             join_members(group->second, now);
     }
     return std::exchange(orders_, {});
 }
 
-// The log would grow with each group that ever was.
+// Removes groups that bind no member from the log, which would otherwise grow with every group ever
+// formed.
 void GroupPlanner::end_settled_groups(Time now) {
-    if (now < ended_due_)
+    if (now < removal_due_)
         return;
-    ended_due_ = now + EndEvery;
+    removal_due_ = now + RemovalInterval;
     for (auto& [epoch, group] : groups_) {
-        if (!group.logged || group.ending || !binds_nobody(group, now))
+        if (!group.in_log || group.removal_proposed || !binds_no_member(group, now))
             continue;
-        group.ending = true;
+        group.removal_proposed = true;
         changes_.ended.push_back(epoch);
     }
 }
--- a/src/process/groupplanner.h
+++ b/src/process/groupplanner.h
@@ -1,3 +1,6 @@
+// Plans the serving groups of one service whose endpoints register themselves: which hosts form a
+// group, when it opens and when it is dissolved. Run by liftweir-site-control.
+
 #ifndef GROUPPLANNER_H_INCLUDED
 #define GROUPPLANNER_H_INCLUDED
 
@@ -15,7 +18,7 @@
 
 namespace liftweir {
 
-// A decision of the planner, for the log.
+// One decision of the planner, for the log.
 struct PlanEvent {
     std::string what; // formed, opened, dissolved, staged, ...
     std::string group;
@@ -25,72 +28,73 @@
     auto operator<=>(const PlanEvent&) const = default;
 };
 
-// What the planner needs of the settings.
+// The settings that the planner uses.
 struct GroupPlannerConfig {
-    Duration beat = std::chrono::milliseconds(1200); // between two reports of an endpoint
+    Duration heartbeat_interval = std::chrono::milliseconds(1200);
     Duration load_window = std::chrono::seconds(5);
 
     auto operator<=>(const GroupPlannerConfig&) const = default;
 };
 
-// What the replicated log has to hold of the planner's groups before it goes on.
+// Groups that the planner asks the replicated log to record or to remove.
 struct GroupChanges {
-    PlannedGroups formed;     // no member is ordered before this is committed
-    std::vector<Epoch> ended; // bind nobody any more
+    PlannedGroups formed;     // no order goes to a member before this is committed
+    std::vector<Epoch> ended; // bind no member any more
 
     auto operator<=>(const GroupChanges&) const = default;
     bool empty() const { return formed.empty() && ended.empty(); }
 };
 
-// Decides which hosts form the groups of one service whose endpoints register themselves and take
-// fenced orders. Which groups there may be it knows from the replicated log, how they fare from the
-// endpoints' own reports, so that any control host can go on from where the last leader stopped.
-// Pure: no I/O, no clock but the times it is given.
+// Decides which endpoints form groups and issues fenced orders to them. The replicated log holds
+// every group that may exist and the reports of endpoints give the state of each, so any control
+// host can continue where the previous leader stopped. Pure: no I/O, and no clock but the times
+// passed in.
 class GroupPlanner {
   public:
     GroupPlanner(std::string service, GroupPlannerConfig bounds, bool first_start);
 
-    // The operators' figures for the engine; nothing is planned before the first ones.
+    // Sets the operators' cost model of the engine. Nothing is planned before the first call.
     void configure(const EngineCost& engine);
-    // Every change of a report, on every control host, whether it leads or not.
+    // Takes a changed report. Called on every control host, whether it leads or not.
     void observe(const EndpointReport& report, Time now);
-    // This host leads from now on. Epochs and fences of a higher term are higher. `recorded` are
-    // all groups that any leader before may have ordered; `several_recent_leaders` tells that more
-    // than one may have begun loads within the last window.
+    // Starts leading. A higher term gives higher epochs and fences. `recorded` holds all groups
+    // that earlier leaders may have ordered. `several_recent_leaders` is true if more than one
+    // leader may have started loads within the last load window.
     void take_over(std::uint64_t term, Time now, const PlannedGroups& recorded = {},
                    bool several_recent_leaders = false);
-    // Callers' requests have begun: loads are slow, priced and limited from now on.
-    void traffic_began() { traffic_ = true; }
-    // An entry host sees all streams of a group stand still.
+    // Callers have begun to send requests. From now on loads are slow, have a price and are
+    // limited.
+    void traffic_began() { traffic_started_ = true; }
+    // An entry host reports that all streams of a group are stalled.
     void suspect(Epoch epoch, Time now);
 
-    // One round: the orders that should go out now. Each is to be followed by answered().
+    // Runs one planning round and returns the orders to send. Call answered() for each of them.
     std::vector<EndpointOrder> plan(const Registry& registry, Time now);
-    // What of the last round should be in the log. To be followed by recorded().
+    // Changes of the last round that belong in the log. Call recorded() once they are committed.
     GroupChanges take_changes() { return std::exchange(changes_, {}); }
-    // The changes are committed: the orders that waited for it.
+    // The changes are committed. Returns the orders that waited for them.
     std::vector<EndpointOrder> recorded(const GroupChanges& changes, const Registry& registry,
                                         Time now);
-    // Endpoints that should be asked for a report now.
+    // Endpoints to probe now. Call probed() with each result.
     std::vector<EndpointId> take_probes();
-    // What became of an order, and of a probe.
+    // Takes the result of an order, or of a probe.
     void answered(const EndpointOrder& order, OrderAnswer answer, Time now);
     void probed(const EndpointId& id, bool alive, Time now);
-    // Decisions since the last call.
+    // Returns the decisions since the last call.
     std::vector<PlanEvent> take_events() { return std::exchange(events_, {}); }
 
-    // Groups given up whose leads, by their last reports, still serve.
+    // Dissolved groups whose leads still serve according to their last reports.
     std::vector<Epoch> dissolved(const Registry& registry) const;
-    // One line for the log: groups per model, and free hosts by the model on their disk.
+    // A line for the log: open groups per model, and free hosts per domain by the staged model.
     std::string layout(const Registry& registry, Time now);
 
   private:
     enum class Phase : std::uint8_t {
-        Proposed, // not ordered before the log has it
+        Proposed, // no order is sent before the log holds it
         Forming,
         Open,
         Closing,
-        Dead
+        Dissolved
     };
     using Hosts = std::vector<const EndpointReport*>;
 
@@ -98,68 +102,68 @@
         Epoch epoch = NoEpoch;
         std::string name;
         std::string model;
-        std::vector<EndpointId> members; // by rank; empty where not yet known
+        std::vector<EndpointId> members; // by rank; empty ids where not yet known
         Phase phase = Phase::Forming;
-        Time since{};         // begin of the phase
-        bool ours = false;    // formed by this host in this term
-        bool warm_up = false; // one host alone, only to have the weights in its memory
+        Time since{};             // start of the phase
+        bool formed_here = false; // formed by this host in this term
+        bool warm_up = false;     // a single host that only loads the weights into its memory
         bool may_have_opened = true;
-        bool gathering = false;    // closes for one within a domain
-        bool closed = false;       // in service before, and the lead says that it is no more
-        bool logged = false;       // the log holds it
-        bool ending = false;       // the log is asked to drop it
-        std::set<EndpointId> told; // members that have told of it
-        std::set<EndpointId> out;  // members that are in it no more, and can not be again
-        Time open_due{};           // the lead is told again to open if it has not by then
-        Time expected{};           // when a forming group should be ready
-        Time suspected{};
-        Time probed{};                // begin of the last round of probes
-        std::set<EndpointId> awaited; // probes without an answer
-        int sound_rounds = 0;         // rounds in which all answered though nothing moved
+        bool consolidating = false; // closes to be replaced by a group within one domain
+        bool closed = false;        // was in service; its lead reports that it has closed
+        bool in_log = false;
+        bool removal_proposed = false;       // from the log
+        std::set<EndpointId> reported;       // members whose reports have named the group
+        std::set<EndpointId> departed;       // members that have left for good
+        Time open_retry_due{};               // the order to open is repeated after this time
+        Time expected_ready{};               // when a forming group should be ready
+        Time suspected{};                    // last report of stalled streams
+        Time probed{};                       // start of the last round of probes
+        std::set<EndpointId> pending_probes; // probes without an answer
+        int answered_rounds = 0;             // rounds in which all members answered during a stall
     };
 
-    // Live groups of one model, by the domain of their leads.
+    // Counts of the live groups of one model, by the domain of the lead.
     struct LiveGroups {
         std::size_t all = 0;
         std::map<std::string, std::size_t> by_domain;
     };
 
     struct Host {
-        std::string warm;    // model that it could join at once
-        Time silent_until{}; // did not answer an order or a probe
+        std::string warm;          // model whose weights are in its memory
+        Time unresponsive_until{}; // did not answer an order or a probe
         Time staging_until{};
         std::string staging;
-        bool ordered = false; // an order is under way
-        Epoch seen = NoEpoch; // highest that it is known to have joined: it refuses lower ones
+        bool order_in_flight = false;
+        Epoch highest_epoch = NoEpoch; // that it has joined; it refuses lower ones
     };
 
     Group& group_of(const Membership& membership, Time now);
     Group& adopt(Epoch epoch, const PlannedGroup& recorded, Time now);
-    void note_departures(const EndpointReport& report);
-    void note_member(const EndpointId& id, Epoch epoch);
+    void record_departures(const EndpointReport& report);
+    void record_membership(const EndpointId& id, Epoch epoch);
     void forget_old_groups(Time now);
     void begin_round(const Registry& registry, Time now);
 
     // progress of groups
     void advance(Group& group, Time now);
     void advance_forming(Group& group, Time now);
-    void advance_foreign(Group& group, Time now);
+    void advance_inherited(Group& group, Time now);
     void advance_open(Group& group, Time now);
-    void advance_dead(Group& group, Time now);
+    void advance_dissolved(Group& group, Time now);
     void probe_if_suspected(Group& group, Time now);
-    void bury(Group& group, const std::string& why, Time now);
-    void bury_if_replaced(Group& group, Time now);
+    void dissolve(Group& group, const std::string& why, Time now);
+    void dissolve_if_replaced(Group& group, Time now);
     Time forming_due(const Group& group, const ModelShape& model) const;
     bool replaceable(const Group& group, Time now) const;
     void open(Group& group, const EndpointReport& lead, Time now);
     void close(Group& group, const EndpointReport& lead, const std::string& why, Time now);
     void close_if_leaving(Group& group, const EndpointReport* lead, Time now);
-    void gather(Group& group, Time now);
+    void consolidate(Group& group, Time now);
     bool spans_domains(const Group& group) const;
 
     // formation
     void form_groups(Time now);
-    const ModelShape* neediest(const std::set<std::string>& hopeless) const;
+    const ModelShape* least_supplied(const std::set<std::string>& unformable) const;
     bool form_one(const ModelShape& model, Time now);
     Hosts best_domain(const ModelShape& model, Time now) const;
     Duration join_time(const EndpointReport& report, const ModelShape& model) const;
@@ -169,7 +173,7 @@
     void end_settled_groups(Time now);
     void stage_spares(Time now);
     void restage_stranded(Time now);
-    double supply(const ModelShape& model) const;
+    double supply_ratio(const ModelShape& model) const;
     bool is_restaging(const std::string& domain, Time now) const;
     bool restage(const ModelShape& model, const Hosts& free, Time now);
     void stage(const EndpointReport& report, const ModelShape& model, const std::string& why,
@@ -179,77 +183,78 @@
     bool is_warming(const EndpointId& id) const;
     std::string model_to_stage(const EndpointReport& report, Time now) const;
     double staging_score(const EndpointReport& report, const ModelShape& model, Time now) const;
-    std::size_t spares_beside(const EndpointReport& report, const std::string& model,
-                              Time now) const;
+    std::size_t other_spares(const EndpointReport& report, const std::string& model,
+                             Time now) const;
     std::vector<ColdHost> cold_hosts(Time now) const;
     bool assigned(const EndpointReport& report, const std::string& model) const;
 
-    // facts
-    bool is_out(const Group& group, const EndpointId& member) const;
-    bool has_ended(const EndpointId& id, Time now) const;
-    bool lead_is_out(const Group& group) const;
-    bool binds_nobody(const Group& group, Time now) const;
+    // queries
+    bool has_left(const Group& group, const EndpointId& member) const;
+    bool has_exited(const EndpointId& id, Time now) const;
+    bool lead_stopped(const Group& group) const;
+    bool binds_no_member(const Group& group, Time now) const;
     bool binds(const Group& group, const EndpointReport& member) const;
     bool alive(const EndpointId& id, Time now) const;
     bool is_free(const EndpointReport& report, Time now) const;
     bool staged(const EndpointReport& report, const std::string& model) const;
     const std::map<std::string, Hosts>& free_by_domain(Time now) const;
     Hosts free_hosts(Time now) const;
-    const std::map<std::string, Hosts>& fit_by_domain(const ModelShape& model, Time now) const;
-    void no_longer_free(const EndpointReport& report);
-    void recount();
-    const Hosts& hosts_in(const std::string& domain) const;
+    const std::map<std::string, Hosts>& eligible_by_domain(const ModelShape& model, Time now) const;
+    void remove_from_free(const EndpointReport& report);
+    void reset_counts();
+    const Hosts& hosts_in_domain(const std::string& domain) const;
     std::size_t target(const ModelShape& shape) const;
     static bool is_live(const Group& group, const std::string& model);
     const LiveGroups& live(const std::string& model) const;
     std::size_t live_groups(const std::string& model) const;
     std::size_t live_groups(const std::string& model, const std::string& domain) const;
-    bool is_gathering(const std::string& model) const;
+    bool is_consolidating(const std::string& model) const;
     const ModelShape* shape(const std::string& model) const;
 
     EndpointOrder& order(OrderKind kind, const EndpointReport& report, const Group* group);
     const EndpointReport* report_of(const EndpointId& id) const;
     std::uint64_t next_number() { return (term_ << CounterBits) | ++counter_; }
-    void note(std::string what, const std::string& group, const EndpointId& endpoint,
-              std::string why);
+    void add_event(std::string what, const std::string& group, const EndpointId& endpoint,
+                   std::string why);
 
-    // Hosts register within one beat of each other; the layout waits until no new one has come for
-    // so long.
+    // Hosts that start together register within one heartbeat interval of each other. The first
+    // layout waits until no new one has registered for this long.
     static constexpr Duration SettleTime = std::chrono::milliseconds(1000);
     static constexpr Duration FormingSlack = std::chrono::milliseconds(1500);
-    // Groups that bind nobody leave the log together, with one entry a second.
-    static constexpr Duration EndEvery = std::chrono::milliseconds(1000);
-    // Orders and groups of one term; a term with more is ended by an overflow into the next.
+    // Groups that bind no member are removed from the log in batches, by one entry a second.
+    static constexpr Duration RemovalInterval = std::chrono::milliseconds(1000);
+    // Bits for the orders and groups of one term. More of them would overflow into the next term.
     static constexpr unsigned CounterBits = 20;
 
     std::string service_;
     GroupPlannerConfig bounds_;
     EngineCost engine_;
     bool configured_ = false;
-    // Only in the first life of the whole system may there be none yet. A control host that comes
-    // back has not heard of any: taken for none, it let loads begin without a bound.
-    bool traffic_;
+    // Requests may be absent only in the first run of the whole deployment. A control host that
+    // restarts has received none yet; if that counted as absence, loads would start without a
+    // limit.
+    bool traffic_started_;
     std::uint64_t term_ = 0;
     std::uint64_t counter_ = 0;
     Time took_over_{};
     Time hosts_changed_{};
-    std::size_t hosts_known_ = 0;                        // endpoints of the service
-    const Registry* registry_ = nullptr;                 // of the last round
-    std::map<EndpointId, std::vector<Epoch>> groups_of_; // groups that named an endpoint a member
-    // Counted once a round, since each decision of it asks for the same.
-    std::map<std::string, Hosts> in_domain_;                   // endpoints of the service
-    std::size_t serving_ = 0;                                  // live ones of them
+    std::size_t known_hosts_ = 0;                               // endpoints of the service
+    const Registry* registry_ = nullptr;                        // of the last round
+    std::map<EndpointId, std::vector<Epoch>> groups_by_member_; // groups that list it as a member
+    // Computed once a round, since all decisions of the round use the same values.
+    std::map<std::string, Hosts> hosts_by_domain_;             // endpoints of the service
+    std::size_t serving_ = 0;                                  // live endpoints of the service
     mutable std::optional<std::map<std::string, Hosts>> free_; // by domain
-    // Those of them that could join a group of a model, by model and domain.
-    mutable std::map<std::string, std::map<std::string, Hosts>> fit_;
+    // Free hosts that can join a group of a model, by model and domain.
+    mutable std::map<std::string, std::map<std::string, Hosts>> eligible_;
     mutable std::optional<std::map<std::string, LiveGroups>> live_; // by model
     std::map<Epoch, Group> groups_;
     std::map<EndpointId, Host> hosts_;
-    std::set<std::string> ever_open_;              // models
-    std::map<EndpointId, std::string> assignment_; // models of hosts that began empty
+    std::set<std::string> models_opened_;          // models that have had an open group
+    std::map<EndpointId, std::string> assignment_; // models of hosts that started without weights
     LoadBudget loads_;
     GroupChanges changes_;
-    Time ended_due_{}; // groups that bind nobody are told of
+    Time removal_due_{}; // next removal of groups from the log
     std::vector<EndpointOrder> orders_;
     std::vector<EndpointId> probes_;
     std::vector<PlanEvent> events_;
--- a/src/process/groupprogress.cpp
+++ b/src/process/groupprogress.cpp
@@ -1,4 +1,4 @@
-// How GroupPlanner follows its groups: from forming to service, and to their end.
+// How GroupPlanner moves its groups from forming to service and finally dissolves them.
 
 #include "process/groupplanner.h"
 
@@ -8,49 +8,49 @@
 
 namespace {
 
-constexpr Duration ProbeEvery = std::chrono::milliseconds(400);
-// SuspectRequest that is not renewed for so long is over.
-constexpr Duration SuspicionKept = std::chrono::milliseconds(900);
-// Endpoints let a leaving member's group finish for 10 s at most.
-constexpr Duration MostClosing = std::chrono::seconds(10);
+constexpr Duration ProbeInterval = std::chrono::milliseconds(400);
+// A suspicion that is not renewed for this long is dropped.
+constexpr Duration SuspicionTimeout = std::chrono::milliseconds(900);
+// Endpoints let a group with a leaving member finish its requests for at most 10 s.
+constexpr Duration MaxClosing = std::chrono::seconds(10);
 
-// An order of the leader before to open, and the word that it was taken: a round trip between zones
-// and a busy host's turn.
-constexpr Duration OrderWay = std::chrono::milliseconds(100);
+// Time for an order of the previous leader to open a group and for its answer: a round trip between
+// zones and the scheduling delay of a busy host.
+constexpr Duration OrderRoundTrip = std::chrono::milliseconds(100);
 
 } // namespace
 
 // ---- progress of groups
 
 void GroupPlanner::advance(Group& group, Time now) {
-    bury_if_replaced(group, now);
+    dissolve_if_replaced(group, now);
     switch (group.phase) {
     case Phase::Proposed:
         break;
     case Phase::Forming:
-        if (group.ours || group.warm_up)
+        if (group.formed_here || group.warm_up)
             advance_forming(group, now);
         else
-            advance_foreign(group, now);
+            advance_inherited(group, now);
         break;
     case Phase::Open:
     case Phase::Closing:
         advance_open(group, now);
         break;
-    case Phase::Dead:
-        advance_dead(group, now);
+    case Phase::Dissolved:
+        advance_dissolved(group, now);
         break;
     }
 }
 
-// A member whose name or address another incarnation has is no more: no order reaches it, and its
-// part of the group is lost.
-void GroupPlanner::bury_if_replaced(Group& group, Time now) {
+// A member has exited if another incarnation has its name or its address: no order reaches it, and
+// its part of the group is lost.
+void GroupPlanner::dissolve_if_replaced(Group& group, Time now) {
     for (const EndpointId& id : group.members) {
         const EndpointReport* report = report_of(id);
         if (report == nullptr || !registry_->replaced(*report))
             continue;
-        bury(group, "another start is in the place of member " + text_of(id), now);
+        dissolve(group, "another start is in the place of member " + text_of(id), now);
         return;
     }
 }
@@ -58,8 +58,8 @@
 void GroupPlanner::advance_forming(Group& group, Time now) {
     const ModelShape* model = shape(group.model);
     const std::size_t size = group.warm_up ? 1 : (model == nullptr ? 0 : model->size);
-    if (model == nullptr || (!group.warm_up && group.ours && group.members.size() != size)) {
-        bury(group, "no such model", now);
+    if (model == nullptr || (!group.warm_up && group.formed_here && group.members.size() != size)) {
+        dissolve(group, "its model was removed or resized", now);
         return;
     }
     bool all_ready = group.members.size() == size;
@@ -70,77 +70,79 @@
             continue;
         }
         if (report->phase != EndpointPhase::Serving || !alive(id, now)) {
-            bury(group, "member " + text_of(id) + " was lost while the group formed", now);
+            dissolve(group, "member " + text_of(id) + " was lost while the group formed", now);
             return;
         }
         all_ready = all_ready && report->membership.epoch == group.epoch &&
                     report->membership.state == MemberState::Ready;
     }
     if (all_ready && group.warm_up) {
-        bury(group, "warm", now);
+        dissolve(group, "warm-up is complete", now);
         return;
     }
     const EndpointReport* lead = group.members.empty() ? nullptr : report_of(group.members.front());
-    if (all_ready && lead != nullptr && !hosts_[lead->id].ordered && now >= group.open_due)
+    if (all_ready && lead != nullptr && !hosts_[lead->id].order_in_flight &&
+        now >= group.open_retry_due)
         open(group, *lead, now);
     if (now > forming_due(group, *model))
-        bury(group, "not ready in time", now);
+        dissolve(group, "not ready in time", now);
 }
 
-// Another leader formed it, may have told it to open, and may not know yet that it leads no more:
-// it would go on deciding about the members of a group that this one puts into service. So unless
-// it opens, it is formed anew, and its lead is told to leave first. A lead that nobody has heard of
-// since the takeover may serve.
-void GroupPlanner::advance_foreign(Group& group, Time now) {
+// Another leader formed the group and may have ordered it to open. That leader may not know yet
+// that it has been deposed, so it could still order the members of a group that this leader opens.
+// A group that does not open in time is therefore dissolved and formed again, and its lead is
+// ordered to leave first. A lead that has not reported since the takeover may be serving.
+void GroupPlanner::advance_inherited(Group& group, Time now) {
     const EndpointReport* lead = group.members.empty() ? nullptr : report_of(group.members.front());
-    const bool in_it = lead != nullptr && lead->membership.epoch == group.epoch;
-    const Duration patience = in_it ? engine_.open_delay + OrderWay : 2 * bounds_.beat;
-    if ((lead != nullptr && is_out(group, lead->id)) || now - took_over_ > patience)
-        bury(group, "formed by another leader", now);
+    const bool is_member = lead != nullptr && lead->membership.epoch == group.epoch;
+    const Duration timeout =
+        is_member ? engine_.open_delay + OrderRoundTrip : 2 * bounds_.heartbeat_interval;
+    if ((lead != nullptr && has_left(group, lead->id)) || now - took_over_ > timeout)
+        dissolve(group, "formed by another leader", now);
 }
 
 void GroupPlanner::open(Group& group, const EndpointReport& lead, Time now) {
     group.may_have_opened = true;
-    group.open_due = now + engine_.open_delay + bounds_.beat;
+    group.open_retry_due = now + engine_.open_delay + bounds_.heartbeat_interval;
     order(OrderKind::Open, lead, &group);
-    note("opening", group.name, lead.id, "all members are ready");
+    add_event("opening", group.name, lead.id, "all members are ready");
 }
 
-// Another leader's group may have begun with hosts that had nothing on their disks.
+// A group of another leader may have started with hosts that had no weights on their disks.
 Time GroupPlanner::forming_due(const Group& group, const ModelShape& model) const {
-    if (group.expected != Time{})
-        return group.expected + FormingSlack;
+    if (group.expected_ready != Time{})
+        return group.expected_ready + FormingSlack;
     return group.since + engine_.open_delay + FormingSlack + (model.load + model.warm_join);
 }
 
-// A member that was lost shows in three ways: its own report, another incarnation at its address,
-// or streams that stand still at the entry hosts and a probe that is not answered. Silence towards
-// control alone proves nothing: the group may serve on.
+// Three things show that a member is lost: its own report, another incarnation at its address, or
+// stalled streams at the entry hosts together with an unanswered probe. Missing reports alone prove
+// nothing, since the group may still serve.
 void GroupPlanner::advance_open(Group& group, Time now) {
     const EndpointReport* lead = group.members.empty() ? nullptr : report_of(group.members.front());
     if (lead != nullptr && lead->membership.epoch == group.epoch) {
         if (lead->membership.state == MemberState::Broken) {
-            bury(group, "the lead reports it broken", now);
+            dissolve(group, "the lead reports it broken", now);
             return;
         }
         if (group.phase == Phase::Closing && lead->membership.state == MemberState::Ready) {
             group.closed = true;
-            bury(group, "closed", now);
+            dissolve(group, "closed", now);
             return;
         }
     }
-    if (group.phase == Phase::Closing && now - group.since > MostClosing) {
-        bury(group, "did not close in time", now);
+    if (group.phase == Phase::Closing && now - group.since > MaxClosing) {
+        dissolve(group, "did not close in time", now);
         return;
     }
     for (const EndpointId& id : group.members) {
-        if (!is_out(group, id))
+        if (!has_left(group, id))
             continue;
-        bury(group, "member " + text_of(id) + " left", now);
+        dissolve(group, "member " + text_of(id) + " left", now);
         return;
     }
     close_if_leaving(group, lead, now);
-    gather(group, now);
+    consolidate(group, now);
     probe_if_suspected(group, now);
 }
 
@@ -150,7 +152,7 @@
     group.since = now;
     live_.reset();
     order(OrderKind::Close, lead, &group);
-    note("closing", group.name, lead.id, why);
+    add_event("closing", group.name, lead.id, why);
 }
 
 bool GroupPlanner::spans_domains(const Group& group) const {
@@ -161,8 +163,8 @@
     return domains.size() > 1;
 }
 
-// A group across domains is a makeshift: it ends once one domain alone can hold a group.
-void GroupPlanner::gather(Group& group, Time now) {
+// A group across domains is a temporary fallback: it closes once a single domain can hold a group.
+void GroupPlanner::consolidate(Group& group, Time now) {
     const ModelShape* model = shape(group.model);
     if (group.phase != Phase::Open || model == nullptr || !spans_domains(group))
         return;
@@ -173,19 +175,20 @@
     for (const auto& [domain, free] : free_by_domain(now))
         for (const EndpointReport* report : free)
             hosts[domain] += staged(*report, group.model) ? 1 : 0;
-    const bool one_is_enough = std::any_of(
+    const bool one_domain_suffices = std::any_of(
         hosts.begin(), hosts.end(), [&](const auto& item) { return item.second >= model->size; });
     const EndpointReport* lead = report_of(group.members.front());
-    if (!one_is_enough || lead == nullptr || hosts_[lead->id].ordered)
+    if (!one_domain_suffices || lead == nullptr || hosts_[lead->id].order_in_flight)
         return;
-    group.gathering = true;
+    group.consolidating = true;
     close(group, *lead, "one domain can hold it now", now);
 }
 
-// A leaving member goes on with what its group has, for a while. Without its lead a group gets
-// nothing new anyway; without another member it pays to close early only where a spare is at hand.
+// A leaving member works on the requests of its group for a while. A group whose lead leaves gets
+// no new requests anyway. If another member leaves, closing early is worthwhile only if a spare can
+// replace it.
 void GroupPlanner::close_if_leaving(Group& group, const EndpointReport* lead, Time now) {
-    if (group.phase != Phase::Open || lead == nullptr || hosts_[lead->id].ordered)
+    if (group.phase != Phase::Open || lead == nullptr || hosts_[lead->id].order_in_flight)
         return;
     const bool leaving =
         std::any_of(group.members.begin(), group.members.end(), [&](const EndpointId& id) {
@@ -197,7 +200,7 @@
     close(group, *lead, "a member is leaving", now);
 }
 
-// Closing early pays only where the group can be put together again without the leaving member.
+// Whether the free hosts of the lead's domain can replace the leaving members.
 bool GroupPlanner::replaceable(const Group& group, Time now) const {
     const EndpointReport* lead = report_of(group.members.front());
     if (lead == nullptr)
@@ -218,30 +221,30 @@
 }
 
 void GroupPlanner::probe_if_suspected(Group& group, Time now) {
-    if (group.suspected == Time{} || now - group.suspected > SuspicionKept) {
-        group.sound_rounds = 0;
+    if (group.suspected == Time{} || now - group.suspected > SuspicionTimeout) {
+        group.answered_rounds = 0;
         return;
     }
-    if (!group.awaited.empty() || now - group.probed < ProbeEvery)
+    if (!group.pending_probes.empty() || now - group.probed < ProbeInterval)
         return;
     group.probed = now;
     for (const EndpointId& id : group.members)
-        if (!id.empty() && group.awaited.insert(id).second)
+        if (!id.empty() && group.pending_probes.insert(id).second)
             probes_.push_back(id);
-    note("suspected", group.name, group.members.front(), "its streams stand still");
+    add_event("suspected", group.name, group.members.front(), "its streams stand still");
 }
 
-// The lead's own word frees all members with one order. Where it is silent, each of them has to
-// leave for itself.
-void GroupPlanner::advance_dead(Group& group, Time now) {
-    if (group.members.empty() || !group.may_have_opened || lead_is_out(group))
+// One confirmation of the lead that it has left releases all members. If the lead is unresponsive,
+// each member is ordered to leave.
+void GroupPlanner::advance_dissolved(Group& group, Time now) {
+    if (group.members.empty() || !group.may_have_opened || lead_stopped(group))
         return;
     const EndpointId& lead = group.members.front();
     const bool ask_lead = !lead.empty() && alive(lead, now);
     for (const EndpointId& id : group.members) {
         const EndpointReport* member = id.empty() ? nullptr : report_of(id);
         if ((ask_lead && id != lead) || member == nullptr || !alive(id, now) ||
-            !binds(group, *member) || hosts_[id].ordered)
+            !binds(group, *member) || hosts_[id].order_in_flight)
             continue;
         order(OrderKind::Leave, *member, &group);
     }
