--- a/src/process/endpointindex.cpp
+++ b/src/process/endpointindex.cpp
@@ -1,3 +1,5 @@
+// Updates the lookup tables with each change of a report.
+
 #include "process/endpointindex.h"
 
 #include "process/groupname.h"
@@ -28,32 +30,32 @@
 
 void EndpointIndex::put(const EndpointReport& report) {
     remove(report.id);
-    Place place;
-    place.service = report.service;
-    place.epoch = report.membership.epoch;
-    place.domain = report.domain;
+    Keys keys;
+    keys.service = report.service;
+    keys.epoch = report.membership.epoch;
+    keys.domain = report.domain;
     if (report.leads_open_group()) {
-        place.model = model_of_group(report.membership.group);
-        leads_[place.model].emplace(report.id, &report);
+        keys.model = model_of_group(report.membership.group);
+        leads_[keys.model].emplace(report.id, &report);
     }
     if (report.grouped())
-        ++member_domains_[place.epoch][place.domain];
-    services_[place.service].emplace(report.id, &report);
-    places_.emplace(report.id, std::move(place));
+        ++member_domains_[keys.epoch][keys.domain];
+    services_[keys.service].emplace(report.id, &report);
+    keys_.emplace(report.id, std::move(keys));
 }
 
 void EndpointIndex::remove(const EndpointId& id) {
-    const auto found = places_.find(id);
-    if (found == places_.end())
+    const auto found = keys_.find(id);
+    if (found == keys_.end())
         return;
-    const Place place = std::move(found->second);
-    places_.erase(found);
-    drop(leads_, place.model, id);
-    drop(services_, place.service, id);
-    const auto members = member_domains_.find(place.epoch);
+    const Keys keys = std::move(found->second);
+    keys_.erase(found);
+    drop(leads_, keys.model, id);
+    drop(services_, keys.service, id);
+    const auto members = member_domains_.find(keys.epoch);
     if (members == member_domains_.end())
         return;
-    const auto domain = members->second.find(place.domain);
+    const auto domain = members->second.find(keys.domain);
     if (domain != members->second.end() && --domain->second == 0)
         members->second.erase(domain);
     if (members->second.empty())
--- a/src/process/endpointorder.cpp
+++ b/src/process/endpointorder.cpp
@@ -1,3 +1,5 @@
+// Names of order kinds and answers.
+
 #include "process/endpointorder.h"
 
 namespace liftweir {
--- a/src/process/endpointorder.h
+++ b/src/process/endpointorder.h
@@ -1,3 +1,5 @@
+// Orders from the leading control host to endpoints. Used by liftweir-site-control.
+
 #ifndef ENDPOINTORDER_H_INCLUDED
 #define ENDPOINTORDER_H_INCLUDED
 
@@ -11,20 +13,20 @@
 
 namespace liftweir {
 
-// What an endpoint is told to do.
+// What an order asks an endpoint to do.
 enum class OrderKind : std::uint8_t {
-    Join,  // hold a part of a group; loads the weights where they are missing
+    Join,  // become a member of a group; loads the weights if they are missing
     Open,  // the lead puts the group into service
-    Close, // the lead finishes what it has and takes nothing new
-    Leave, // give the part up at once
+    Close, // the lead finishes its requests and takes no new ones
+    Leave, // leave the group at once
     Stage  // fetch weights onto the host without joining
 };
 
-// The order's word in the log and on the wire.
+// The name of the kind in the log and on the wire.
 std::string_view name_of(OrderKind kind);
 
-// One order to an endpoint. The fence rises from order to order and from leader to leader, so an
-// endpoint refuses what is delivered late.
+// One order to an endpoint. Fences increase from order to order and from leader to leader, so an
+// endpoint refuses an order that arrives after a newer one.
 struct EndpointOrder {
     OrderKind kind = OrderKind::Join;
     EndpointId endpoint;
@@ -38,16 +40,16 @@
     auto operator<=>(const EndpointOrder&) const = default;
 };
 
-// What became of an order, as far as the one who gave it knows.
+// The result of an order, as far as the sender knows.
 enum class OrderAnswer : std::uint8_t {
-    Taken,     // begun, or holds already
-    Unfit,     // does not fit the endpoint's state
-    Stale,     // a higher fence or epoch was seen
+    Taken,     // in progress, or done already
+    Unfit,     // not valid in the state of the endpoint
+    Stale,     // the endpoint has seen a higher fence or epoch
     Elsewhere, // another endpoint has the address
-    Silent     // no answer: it may still be carried out, seconds later
+    Silent     // no answer; the order may still be carried out seconds later
 };
 
-// The answer's word in the log.
+// The name of the answer in the log.
 std::string_view name_of(OrderAnswer answer);
 
 } // namespace liftweir
--- a/src/process/firstlayout.cpp
+++ b/src/process/firstlayout.cpp
@@ -1,3 +1,5 @@
+// Fills the domains, largest first, with whole groups of the model that lacks the most hosts.
+
 #include "process/firstlayout.h"
 
 #include <algorithm>
@@ -15,7 +17,7 @@
     Quota quota;
 };
 
-std::vector<DomainPlan> by_domain(const std::vector<ColdHost>& hosts) {
+std::vector<DomainPlan> group_by_domain(const std::vector<ColdHost>& hosts) {
     std::map<std::string, DomainPlan> domains;
     for (const ColdHost& host : hosts) {
         DomainPlan& plan = domains[host.domain];
@@ -32,20 +34,20 @@
     return out;
 }
 
-const ModelShape& neediest(const std::vector<ModelShape>& models,
-                           const std::map<std::string, double>& wanted) {
+const ModelShape& most_wanted_model(const std::vector<ModelShape>& models,
+                                    const std::map<std::string, double>& wanted) {
     return *std::max_element(models.begin(), models.end(),
                              [&](const ModelShape& a, const ModelShape& b) {
                                  return wanted.at(a.name) < wanted.at(b.name);
                              });
 }
 
-// Whole groups of the model that lacks the most hosts, until the domain is full.
+// Adds whole groups of the model that lacks the most hosts until the domain is full.
 void fill(DomainPlan& domain, const std::vector<ModelShape>& models,
           std::map<std::string, double>& wanted) {
     std::size_t left = domain.hosts.size();
     while (left > 0) {
-        const ModelShape& model = neediest(models, wanted);
+        const ModelShape& model = most_wanted_model(models, wanted);
         const std::size_t size = std::max<std::size_t>(1, model.size);
         const auto groups = std::max<std::size_t>(
             1, static_cast<std::size_t>(std::lround(wanted.at(model.name) / size)));
@@ -66,7 +68,7 @@
     std::map<std::string, double> wanted;
     for (const ModelShape& model : models)
         wanted[model.name] = model.share * static_cast<double>(hosts.size());
-    std::vector<DomainPlan> domains = by_domain(hosts);
+    std::vector<DomainPlan> domains = group_by_domain(hosts);
     for (DomainPlan& domain : domains)
         fill(domain, models, wanted);
     for (const DomainPlan& domain : domains) {
--- a/src/process/firstlayout.h
+++ b/src/process/firstlayout.h
@@ -1,3 +1,5 @@
+// The first assignment of models to hosts. Run by liftweir-site-control.
+
 #ifndef FIRSTLAYOUT_H_INCLUDED
 #define FIRSTLAYOUT_H_INCLUDED
 
@@ -18,10 +20,11 @@
     auto operator<=>(const ColdHost&) const = default;
 };
 
-// Which model each host begins with. Hosts of one domain get the same model as far as shares
-// allow, since the survivors of a lost member are spares only for groups of their own model and
-// domain. A model may so stand in one domain alone, which may go dark as a whole; to give it a
-// group elsewhere too costs the other models more on most days (docs/MEASUREMENTS.md).
+// Returns the model that each host starts with. Hosts of one domain get the same model as far as
+// the shares allow, since the survivors of a lost member are spares only for groups of their own
+// model and domain. All groups of a model may thus be in one domain and fail with it. Placing one
+// of them in another domain costs the other models more under most workloads
+// (docs/MEASUREMENTS.md).
 std::map<EndpointId, std::string> assign_models(const std::vector<ColdHost>& hosts,
                                                 const std::vector<ModelShape>& models);
 
--- a/src/process/groupcontroller.cpp
+++ b/src/process/groupcontroller.cpp
@@ -1,3 +1,5 @@
+// Passes reports, leadership and committed changes to the group planners, and their orders on.
+
 #include "process/groupcontroller.h"
 
 #include "process/metrics.h"
@@ -51,24 +53,25 @@
 
 void GroupController::step_down() {
     leadership_.reset();
-    recorded_.clear();
+    committed_.clear();
     queued_.clear();
 }
 
 // ---- one round
 
 bool GroupController::plan(Replica& replica, const Registry& registry, Time now) {
-    bool asked = false;
+    bool proposed = false;
     for (auto& [service, planner] : planners_) {
-        queue(service, planner.plan(registry, now));
-        asked = record(replica, service, planner) || asked;
+        enqueue(service, planner.plan(registry, now));
+        proposed = propose_changes(replica, service, planner) || proposed;
     }
-    return asked;
+    return proposed;
 }
 
-// Groups are in the log before any of their members is ordered. Where they do not get there, the
-// next leader finds them in the log, or none was ordered.
-bool GroupController::record(Replica& replica, const std::string& service, GroupPlanner& planner) {
+// Groups are in the log before any order goes to their members. If this host never sees the commit,
+// it sends no orders; the next leader finds the groups in the log if they were committed.
+bool GroupController::propose_changes(Replica& replica, const std::string& service,
+                                      GroupPlanner& planner) {
     const GroupChanges changes = planner.take_changes();
     if (changes.empty())
         return false;
@@ -77,21 +80,22 @@
                     [this, service, changes,
                      term = replica.raft().term()](const Expected<ApplyResult>& committed) {
                         if (committed)
-                            recorded_.push_back({service, term, changes});
+                            committed_.push_back({service, term, changes});
                     });
     return true;
 }
 
-// What was asked for in an earlier term the takeover has read from the log already.
+// Changes of an earlier term are skipped, since take_over() has read them from the log.
 void GroupController::settle(const Registry& registry, Time now) {
-    for (const Recorded& item : std::exchange(recorded_, {})) {
+    for (const Committed& item : std::exchange(committed_, {})) {
         GroupPlanner* planner = planner_of(item.service);
         if (planner != nullptr && leadership_ && leadership_->term == item.term)
-            queue(item.service, planner->recorded(item.changes, registry, now));
+            enqueue(item.service, planner->recorded(item.changes, registry, now));
     }
 }
 
-void GroupController::queue(const std::string& service, const std::vector<EndpointOrder>& orders) {
+void GroupController::enqueue(const std::string& service,
+                              const std::vector<EndpointOrder>& orders) {
     for (const EndpointOrder& order : orders)
         queued_.add({service, order});
 }
@@ -123,7 +127,7 @@
     return events;
 }
 
-// ---- what others are told
+// ---- status
 
 std::set<Epoch> GroupController::dissolved(const Registry& registry) const {
     std::set<Epoch> all;
--- a/src/process/groupcontroller.h
+++ b/src/process/groupcontroller.h
@@ -1,3 +1,5 @@
+// Runs the group planners of all services. Used by liftweir-site-control.
+
 #ifndef GROUPCONTROLLER_H_INCLUDED
 #define GROUPCONTROLLER_H_INCLUDED
 
@@ -14,17 +16,16 @@
 
 namespace liftweir {
 
-// What a control host has for the groups of all services: a planner for each, what the replicated
-// log has to hold before an order goes out, and the orders that wait. Every control host observes;
-// only the leader plans. Pure: no I/O but through the replica, no clock but the times it is given.
+// Holds a planner for each service, the changes that the replicated log must hold before an order
+// is sent, and the queue of orders. Every control host observes reports; only the leader plans.
+// Pure: no I/O except through the replica, and no clock but the times passed in.
 class GroupController {
   public:
-    // How a control host came to lead.
+    // The term in which this host leads.
     struct Leadership {
         Term term = 0;
         Time since{};
-        bool several_recent_leaders =
-            false; // leaders within the last window in which loads are counted
+        bool several_recent_leaders = false; // within the last load window
 
         auto operator<=>(const Leadership&) const = default;
     };
@@ -38,59 +39,59 @@
     GroupController(GroupPlannerConfig bounds, bool first_start)
         : bounds_(bounds), first_start_(first_start) {}
 
-    // The operators' figures for the service's engine. A planner that begins later than the
-    // endpoints is told of them, and of the leadership.
+    // Sets the operators' cost model of the service's engine. A new planner first receives all
+    // registered endpoints and the leadership.
     void configure(const std::string& service, const EngineCost& engine, const State& state,
                    const Registry& registry, Time now);
 
-    // What is heard, whether this host leads or not.
+    // Inputs of the planners, on every control host whether it leads or not.
     void observe(const EndpointReport& report, Time now);
     void traffic_began();
     void suspect(Epoch epoch, Time now);
 
-    // This host leads from now on, with everything applied that was committed before.
+    // Starts leading. `state` has all entries applied that earlier leaders committed.
     void take_over(const Leadership& leadership, const State& state);
-    // It leads no more: what was not sent is forgotten.
+    // Stops leading, and drops the orders that have not been sent.
     void step_down();
     bool leads() const { return leadership_.has_value(); }
 
-    // One round of all planners. True where the log was asked for something, which the next pump of
-    // the replica hands out.
+    // Runs one round of all planners. True if changes were proposed to the log; the next pump of
+    // the replica sends them out.
     bool plan(Replica& replica, const Registry& registry, Time now);
-    // After each pump: the orders that waited for the log.
+    // Queues the orders that waited for the log. To be called after each pump of the replica.
     void settle(const Registry& registry, Time now);
-    // The next order to be sent, to be followed by answered(); nothing while enough are under way.
+    // The next order to send, or nothing if enough are in flight. Call answered() with its result.
     std::optional<OrderQueue::Item> next_order() { return queued_.next(); }
     void answered(const OrderQueue::Item& item, OrderAnswer answer, Time now);
     std::size_t orders_waiting() const { return queued_.waiting(); }
-    // Endpoints that should be asked for a sign of life, each to be followed by probed().
+    // Endpoints to probe now. Call probed() with each result.
     std::vector<Probe> take_probes();
     void probed(const Probe& probe, bool alive, Time now);
-    // Decisions since the last call.
+    // Returns the decisions since the last call.
     std::vector<PlanEvent> take_events();
 
-    // Groups given up whose leads, by their last reports, still serve.
+    // Dissolved groups whose leads still serve according to their last reports.
     std::set<Epoch> dissolved(const Registry& registry) const;
-    // For the log: a line for each service.
+    // A line for the log for each service.
     std::map<std::string, std::string> layouts(const Registry& registry, Time now);
 
   private:
-    // Changes of one service that the log holds now.
-    struct Recorded {
+    // Committed changes of one service.
+    struct Committed {
         std::string service;
         Term term = 0;
         GroupChanges changes;
     };
 
-    bool record(Replica& replica, const std::string& service, GroupPlanner& planner);
-    void queue(const std::string& service, const std::vector<EndpointOrder>& orders);
+    bool propose_changes(Replica& replica, const std::string& service, GroupPlanner& planner);
+    void enqueue(const std::string& service, const std::vector<EndpointOrder>& orders);
     GroupPlanner* planner_of(const std::string& service);
 
     GroupPlannerConfig bounds_;
     bool first_start_;
     std::optional<Leadership> leadership_;
     std::map<std::string, GroupPlanner> planners_; // by service
-    std::vector<Recorded> recorded_;               // committed since the last settle()
+    std::vector<Committed> committed_;             // committed since the last settle()
     OrderQueue queued_;
 };
 
--- a/src/process/groupname.cpp
+++ b/src/process/groupname.cpp
@@ -1,3 +1,5 @@
+// Composes and parses names of the form MODEL.EPOCH, or MODEL.wEPOCH for a warm-up group.
+
 #include "process/groupname.h"
 
 namespace liftweir {
--- a/src/process/groupname.h
+++ b/src/process/groupname.h
@@ -1,3 +1,5 @@
+// Names of serving groups. Used by liftweir-site-control and liftweir-site-entry.
+
 #ifndef GROUPNAME_H_INCLUDED
 #define GROUPNAME_H_INCLUDED
 
@@ -7,11 +9,11 @@
 
 namespace liftweir {
 
-// A group's name carries its model and epoch, so that a new leader, or an entry host, can read the
-// model back from any member's report.
+// The name of a group contains its model and epoch, so that a new leader or an entry host can parse
+// the model from the report of any member.
 std::string group_name(const std::string& model, Epoch epoch, bool warm_up);
 std::string model_of_group(const std::string& group);
-// One host alone, joined only to have the weights in its memory.
+// Whether the group is a single host that only loads the weights into its memory.
 bool names_warm_up(const std::string& group);
 
 } // namespace liftweir
--- a/src/process/loadbudget.cpp
+++ b/src/process/loadbudget.cpp
@@ -1,3 +1,5 @@
+// Counts the starts of loads within the window.
+
 #include "process/loadbudget.h"
 
 #include <algorithm>
@@ -6,8 +8,8 @@
 
 namespace {
 
-// Part of the permitted rate that is used. Orders that were not answered may begin a load seconds
-// later, beside newer ones.
+// Share of the permitted rate that is used. An order that was not answered may start its load
+// seconds later, in addition to newer ones.
 constexpr double UsedShare = 0.7;
 
 } // namespace
@@ -15,26 +17,27 @@
 void LoadBudget::configure(double loads_per_second, Duration window) {
     window_ = window;
     const double seconds = std::chrono::duration<double>(window).count();
-    most_ =
+    max_loads_ =
         std::max<std::size_t>(1, static_cast<std::size_t>(loads_per_second * seconds * UsedShare));
     if (assumed_)
-        begun_.assign(assumed_->by_several ? most_ : most_ / 2, assumed_->at);
+        starts_.assign(assumed_->by_several ? max_loads_ : max_loads_ / 2, assumed_->at);
     assumed_.reset();
 }
 
-// A leader before may have begun UsedShare of what is permitted, several of them more than that. A
-// host that comes back may lead before it has read the operators' figures from its log.
+// An earlier leader may have started loads at UsedShare of the permitted rate, and several leaders
+// more than that. A restarted host may lead before it has read the operators' limits from its log,
+// so the assumption is kept until then.
 void LoadBudget::assume_begun(bool by_several, Time now) {
-    if (most_ == 0)
+    if (max_loads_ == 0)
         assumed_ = {by_several, now};
     else
-        begun_.assign(by_several ? most_ : most_ / 2, now);
+        starts_.assign(by_several ? max_loads_ : max_loads_ / 2, now);
 }
 
 bool LoadBudget::allows(Time now) {
-    while (!begun_.empty() && now - begun_.front() > window_)
-        begun_.pop_front();
-    return begun_.size() < most_;
+    while (!starts_.empty() && now - starts_.front() > window_)
+        starts_.pop_front();
+    return starts_.size() < max_loads_;
 }
 
 } // namespace liftweir
--- a/src/process/loadbudget.h
+++ b/src/process/loadbudget.h
@@ -1,3 +1,5 @@
+// A rate limit on loads of model weights. Used by liftweir-site-control.
+
 #ifndef LOADBUDGET_H_INCLUDED
 #define LOADBUDGET_H_INCLUDED
 
@@ -8,28 +10,27 @@
 
 namespace liftweir {
 
-// Keeps loads from the weight store under its ceiling, counted over a sliding window.
+// Limits the loads from the weight store that start within a sliding window.
 class LoadBudget {
   public:
     void configure(double loads_per_second, Duration window);
-    // A new leader does not know what was begun before it: it counts half of the window as begun,
-    // and all of it where more than one leader may have begun loads in it.
-    // Where it is not configured yet, from then on.
+    // Accounts for loads that earlier leaders may have started: half of the limit, or all of it if
+    // several leaders may have started loads within the window. Takes effect once configured.
     void assume_begun(bool by_several, Time now);
     bool allows(Time now);
-    void begun(Time now) { begun_.push_back(now); }
+    void begun(Time now) { starts_.push_back(now); }
 
   private:
-    // What was assumed before the figures were known.
+    // A call of assume_begun() before the limit is configured.
     struct Assumption {
         bool by_several = false;
         Time at{};
     };
 
-    std::size_t most_ = 0; // zero before it is configured
+    std::size_t max_loads_ = 0; // zero until configured
     std::optional<Assumption> assumed_;
     Duration window_ = std::chrono::seconds(5);
-    std::deque<Time> begun_;
+    std::deque<Time> starts_;
 };
 
 } // namespace liftweir
--- a/src/process/orderqueue.cpp
+++ b/src/process/orderqueue.cpp
@@ -1,3 +1,5 @@
+// Queues orders in three lanes by urgency.
+
 #include "process/orderqueue.h"
 
 #include "process/groupname.h"
@@ -28,14 +30,15 @@
 
 } // namespace
 
-// An order counts as unanswered after a second from when it was given to the network. Too many at
-// once would wait here for longer, be given up though they are carried out, and be given again.
+// An order times out one second after it is handed to the network. With too many in flight, orders
+// would wait locally for longer than that: they would time out, be carried out nevertheless, and be
+// sent again.
 void OrderQueue::add(Item item) {
     lanes_[lane_of(item.order)].push_back(std::move(item));
 }
 
 std::optional<OrderQueue::Item> OrderQueue::next() {
-    if (under_way_ >= MostUnderWay)
+    if (in_flight_ >= MaxInFlight)
         return std::nullopt;
     const auto lane = std::find_if(lanes_.begin(), lanes_.end(),
                                    [](const auto& items) { return !items.empty(); });
@@ -43,12 +46,12 @@
         return std::nullopt;
     Item item = std::move(lane->front());
     lane->pop_front();
-    ++under_way_;
+    ++in_flight_;
     return item;
 }
 
 void OrderQueue::ended() {
-    under_way_ -= under_way_ > 0 ? 1 : 0;
+    in_flight_ -= in_flight_ > 0 ? 1 : 0;
 }
 
 void OrderQueue::clear() {
--- a/src/process/orderqueue.h
+++ b/src/process/orderqueue.h
@@ -1,3 +1,5 @@
+// The queue of orders to endpoints. Used by liftweir-site-control.
+
 #ifndef ORDERQUEUE_H_INCLUDED
 #define ORDERQUEUE_H_INCLUDED
 
@@ -11,8 +13,8 @@
 
 namespace liftweir {
 
-// Orders that wait to be sent, so many under way at once. What ends or opens a group goes before
-// what forms one, and that before what only prepares. Pure: no I/O, no clock.
+// Holds orders until they can be sent and limits how many are in flight. Orders that open or end a
+// group go first, then those that form one, then those that prepare spares. Pure: no I/O, no clock.
 class OrderQueue {
   public:
     struct Item {
@@ -23,21 +25,21 @@
     };
 
     void add(Item item);
-    // The next one to be sent, to be followed by ended(); nothing while enough are under way.
+    // The next order to send, or nothing if enough are in flight. Call ended() once it is done.
     std::optional<Item> next();
-    // An order that was sent has been answered, or given up.
+    // An order that was sent has been answered or has timed out.
     void ended();
-    // Forgets what was not sent.
+    // Drops the orders that have not been sent.
     void clear();
 
     std::size_t waiting() const;
-    std::size_t under_way() const { return under_way_; }
+    std::size_t in_flight() const { return in_flight_; }
 
-    static constexpr std::size_t MostUnderWay = 64;
+    static constexpr std::size_t MaxInFlight = 64;
 
   private:
     std::array<std::deque<Item>, 3> lanes_; // the most urgent first
-    std::size_t under_way_ = 0;
+    std::size_t in_flight_ = 0;
 };
 
 } // namespace liftweir
--- a/src/process/throttle.h
+++ b/src/process/throttle.h
@@ -1,3 +1,5 @@
+// Limits the share of time spent on repeated work. Used by liftweir-site-control.
+
 #ifndef THROTTLE_H_INCLUDED
 #define THROTTLE_H_INCLUDED
 
@@ -7,18 +9,18 @@
 
 namespace liftweir {
 
-// Keeps repeated work to a tenth of the time, by what it took the last time: work that is cheap
-// follows each cause at once, and work that has become dear takes several causes together.
+// Keeps repeated work to a tenth of the time, based on the duration of its last run: short work
+// runs right after each request, long work combines several requests into one run.
 class Throttle {
   public:
-    // When the work may be done next, if it is asked for now.
-    Time due(Time now) const { return std::max(now, rests_until_); }
-    void worked(Time begun, Time ended) { rests_until_ = ended + (ended - begun) * RestsTimes; }
+    // The earliest time of the next run if it is requested now.
+    Time due(Time now) const { return std::max(now, next_run_); }
+    void record_run(Time begun, Time ended) { next_run_ = ended + (ended - begun) * IdlePerRun; }
 
   private:
-    static constexpr int RestsTimes = 9;
+    static constexpr int IdlePerRun = 9; // idle time after a run, in durations of the run
 
-    Time rests_until_{};
+    Time next_run_{};
 };
 
 } // namespace liftweir
--- a/src/process/throttledwork.h
+++ b/src/process/throttledwork.h
@@ -1,3 +1,5 @@
+// Throttled work on an event loop. Used by liftweir-site-control.
+
 #ifndef THROTTLEDWORK_H_INCLUDED
 #define THROTTLEDWORK_H_INCLUDED
 
@@ -10,42 +12,42 @@
 
 namespace liftweir {
 
-// Work on the loop that many causes ask for: done once for all that came in the meantime, and no
-// more often than its pace allows.
+// Runs work on the event loop on request. Requests that arrive before the next run are combined
+// into one, and runs are throttled.
 class ThrottledWork {
   public:
     ThrottledWork(asio::io_context& io, std::function<void()> work)
         : timer_(io), work_(std::move(work)) {}
 
-    // Does the work from the loop, as soon as may be.
+    // Schedules a run on the event loop as early as the throttle allows.
     void schedule() {
-        if (std::exchange(asked_, true))
+        if (std::exchange(scheduled_, true))
             return;
         const Time now = BootClock::now();
-        timer_.expires_after(pace_.due(now) - now);
+        timer_.expires_after(throttle_.due(now) - now);
         timer_.async_wait([this](asio::error_code error) {
             if (error)
                 return;
-            asked_ = false;
+            scheduled_ = false;
             run();
         });
     }
 
-    // Does it now, whatever its pace.
+    // Runs the work now, regardless of the throttle.
     void run() {
         const Time begun = BootClock::now();
         work_();
-        pace_.worked(begun, BootClock::now());
+        throttle_.record_run(begun, BootClock::now());
     }
 
-    // When it may be done next, if it is asked for then.
-    Time due(Time now) const { return pace_.due(now); }
+    // The earliest time of the next run if it is requested at `now`.
+    Time due(Time now) const { return throttle_.due(now); }
 
   private:
     asio::steady_timer timer_;
     std::function<void()> work_;
-    Throttle pace_;
-    bool asked_ = false;
+    Throttle throttle_;
+    bool scheduled_ = false;
 };
 
 } // namespace liftweir
--- a/tests/unit/orderqueue_test.cpp
+++ b/tests/unit/orderqueue_test.cpp
@@ -1,3 +1,5 @@
+// Tests the limit and the priorities of the queue of orders.
+
 #include "process/groupname.h"
 #include "process/orderqueue.h"
 
@@ -14,7 +16,7 @@
     return item;
 }
 
-TEST(OrderQueue, SoManyAreUnderWayAtOnceAndEachComesToItsTurn) {
+TEST(OrderQueue, LimitsOrdersInFlightAndSendsAllOfThem) {
     OrderQueue queue;
     for (int n = 0; n < 3000; ++n)
         queue.add(item(OrderKind::Join, std::to_string(n)));
@@ -23,15 +25,15 @@
     while (queue.waiting() > 0) {
         while (queue.next())
             ++sent;
-        most = std::max(most, queue.under_way());
+        most = std::max(most, queue.in_flight());
         queue.ended();
     }
     EXPECT_EQ(sent, 3000u);
-    EXPECT_EQ(most, OrderQueue::MostUnderWay);
+    EXPECT_EQ(most, OrderQueue::MaxInFlight);
 }
 
-// A group that serves badly, or could serve, is not behind spares.
-TEST(OrderQueue, WhatEndsOrOpensAGroupGoesFirst) {
+// Orders that open or end a group must not wait behind the preparation of spares.
+TEST(OrderQueue, SendsOrdersThatOpenOrEndAGroupFirst) {
     OrderQueue queue;
     queue.add(item(OrderKind::Stage, "a"));
     OrderQueue::Item spare = item(OrderKind::Join, "s");
@@ -46,14 +48,14 @@
     EXPECT_EQ(order, "cdbas");
 }
 
-TEST(OrderQueue, WhatWasNotSentIsForgottenWithTheOffice) {
+TEST(OrderQueue, ClearDropsOrdersThatWereNotSent) {
     OrderQueue queue;
     queue.add(item(OrderKind::Join, "a"));
     queue.add(item(OrderKind::Join, "b"));
     ASSERT_TRUE(queue.next());
     queue.clear();
     EXPECT_FALSE(queue.next());
-    EXPECT_EQ(queue.under_way(), 1u);
+    EXPECT_EQ(queue.in_flight(), 1u);
 }
 
 } // namespace
