--- a/src/process/outage.cpp
+++ b/src/process/outage.cpp
@@ -1,3 +1,5 @@
+// Bayesian estimate of the remaining length of an outage, and failure counts that decay.
+
 #include "process/outage.h"
 
 #include <algorithm>
@@ -7,11 +9,13 @@
 
 namespace {
 
-// The prior counts as so many observed outages.
+// The prior counts as this many observed outages.
 constexpr double PriorWeight = 4;
-// Old observations fade, so that a site whose restarts became faster is believed soon.
-constexpr double Fade = 0.95;
-// A host that failed twice in a quarter of an hour is worse than one that failed twice in a day.
+// Weight of the previous outages after each new one. Old outages lose weight so that the estimate
+// follows a site whose restarts have become faster.
+constexpr double DecayPerOutage = 0.95;
+// Failures decay within minutes: a host that failed twice in a quarter of an hour is worse than one
+// that failed twice in a day.
 constexpr double HazardHalfLifeSeconds = 900;
 
 double seconds(Duration d) {
@@ -25,8 +29,8 @@
 } // namespace
 
 void OutageStats::returned(Duration outage) {
-    returns_ = returns_ * Fade + 1;
-    return_seconds_ = return_seconds_ * Fade + seconds(outage);
+    returns_ = returns_ * DecayPerOutage + 1;
+    return_seconds_ = return_seconds_ * DecayPerOutage + seconds(outage);
 }
 
 void OutageStats::failed(const std::string& host, Time now) {
@@ -35,8 +39,8 @@
     hazard.at = now;
 }
 
-// Outages are a mixture of short ones, with an exponential length, and lost hosts. Bayes' rule
-// gives the probability that this one is a loss, given that it already lasted `elapsed`.
+// Outages are a mixture of short ones of exponentially distributed length and of lost hosts. Bayes'
+// rule gives the probability that the host is lost, given that the outage has lasted `elapsed`.
 Duration OutageStats::expected_remaining(Duration elapsed, const OutagePrior& prior) const {
     const double mean =
         (seconds(prior.mean_return) * PriorWeight + return_seconds_) / (PriorWeight + returns_);
--- a/src/process/outage.h
+++ b/src/process/outage.h
@@ -1,3 +1,5 @@
+// Statistics of host outages. Used by liftweir-control.
+
 #ifndef OUTAGE_H_INCLUDED
 #define OUTAGE_H_INCLUDED
 
@@ -8,21 +10,21 @@
 
 namespace liftweir {
 
-// Prior of the outage statistics, from settings.
+// Prior distribution of the outage statistics, from the settings.
 struct OutagePrior {
     Duration mean_return = std::chrono::seconds(30);
-    double loss_share = 0.05;                          // outages that need a repair by hand
-    Duration loss_horizon = std::chrono::seconds(600); // price cut-off of such an outage
+    double loss_share = 0.05; // share of the outages that need manual repair
+    Duration loss_horizon = std::chrono::seconds(600); // assumed remaining length
 };
 
-// Learns how long silent hosts stay away, and which hosts have failed lately.
+// Estimates how long unresponsive hosts stay away, and which hosts have failed recently.
 class OutageStats {
   public:
     void returned(Duration outage);
     void failed(const std::string& host, Time now);
 
-    // Expected time until a host that has been silent for `elapsed` returns. Grows with
-    // `elapsed`: the longer the silence, the less likely is a return.
+    // Expected time until a host returns that has not reported for `elapsed`. Grows with `elapsed`:
+    // the longer the outage, the less likely is a return.
     Duration expected_remaining(Duration elapsed, const OutagePrior& prior) const;
     // Decaying count of the host's recent failures; 0 for a host without any.
     double hazard(const std::string& host, Time now) const;
--- a/src/process/placement.cpp
+++ b/src/process/placement.cpp
@@ -1,6 +1,9 @@
+// One placement planning run, step by step: observed silence, drains, repairs, version changes and
+// missing groups.
+
 #include "process/placement.h"
 
-#include "process/pass.h"
+#include "process/placementpass.h"
 
 #include <algorithm>
 #include <cmath>
@@ -9,17 +12,18 @@
 
 namespace {
 
-// A group that was open and is closed without a silent member suffers from a cut that only its
-// lead sees. Short ones heal by themselves.
-constexpr Duration StuckAfter = std::chrono::seconds(10);
-// A load may take this much longer than estimated before the group is given up.
-constexpr double LoadSlack = 4;
+// A group that was open and closes without a silent member suffers from a network partition that
+// only its lead detects. Short partitions end without a repair.
+constexpr Duration StuckTimeout = std::chrono::seconds(10);
+// A group is dissolved if its load takes this many times the estimate, plus the grace period.
+constexpr double LoadTimeoutFactor = 4;
 constexpr Duration LoadGrace = std::chrono::seconds(30);
-// A leaving host's group is drained once its replacement serves, or after this wait.
-constexpr Duration ReplacementWait = std::chrono::seconds(10);
-// Share of the silence limit after which a host is under suspicion: decisions on its domain wait
-// until it is heard or silent, so that a dark domain is judged once and not host by host.
-constexpr double SuspectShare = 0.6;
+// The group of a leaving host is drained once its replacement serves, or after this timeout.
+constexpr Duration ReplacementTimeout = std::chrono::seconds(10);
+// Share of the silence timeout after which a host is suspected. Decisions on its domain wait until
+// it reports or is silent, so that the outage of a whole domain is handled once and not host by
+// host.
+constexpr double SuspicionShare = 0.6;
 
 } // namespace
 
@@ -72,12 +76,12 @@
     hosts_.clear();
     groups_.clear();
     decisions_.clear();
-    intended_.clear();
+    reserved_.clear();
     started_ = accounted_ = now;
 }
 
-void PlacementPlanner::emit(EventKind kind, const std::string& host, Epoch group,
-                            std::string detail) {
+void PlacementPlanner::add_event(EventKind kind, const std::string& host, Epoch group,
+                                 std::string detail) {
     Event event;
     event.kind = kind;
     event.host = host;
@@ -100,13 +104,14 @@
         outages_.failed(status.host, now);
     }
     view.status = status;
-    view.heard = now;
+    view.last_status = now;
 }
 
 bool PlacementPlanner::silent(const Host& host, const PlacementSettings& settings, Time now) const {
     const auto view = hosts_.find(host.spec.name);
-    const Time heard = view == hosts_.end() ? started_ : std::max(started_, view->second.heard);
-    return now - heard > settings.silent_after;
+    const Time last_status =
+        view == hosts_.end() ? started_ : std::max(started_, view->second.last_status);
+    return now - last_status > settings.silent_after;
 }
 
 bool PlacementPlanner::serving(Epoch epoch) const {
@@ -123,8 +128,8 @@
            !silent(host, pass.settings(host.spec.site), pass.now);
 }
 
-// Its agent is heard, but will never hold its part again: it has promised to refuse the epoch, as
-// it does when the process of its endpoint ends.
+// The host's agent reports, but will never be a member of the group again: the process of its
+// endpoint has ended, or the agent has raised its fence and so refuses the group's epoch.
 bool PlacementPlanner::has_left(const Group& group, const Host& host) const {
     const auto view = hosts_.find(host.spec.name);
     if (view == hosts_.end() || view->second.status.incarnation != host.incarnation)
@@ -149,27 +154,27 @@
                                             const std::map<std::string, PlacementSettings>& by_site,
                                             Time now) {
     Pass pass{state, by_site, now};
-    note_silence(pass);
-    account(pass);
+    update_views(pass);
+    account_losses(pass);
     acknowledge_releases(pass);
     finish_drains(pass);
     repair_broken(pass);
-    drop_stuck(pass);
+    dissolve_stuck(pass);
     drain_leaving(pass);
-    roll_versions(pass);
-    meet_wants(pass);
+    roll_out_versions(pass);
+    meet_targets(pass);
     return std::move(pass.out);
 }
 
-// Brings the views up to date with the state, and learns from hosts that went silent or returned.
-void PlacementPlanner::note_silence(Pass& pass) {
+// Updates the views to the state, and records hosts that became silent or returned.
+void PlacementPlanner::update_views(Pass& pass) {
     std::erase_if(groups_, [&](const auto& g) { return !pass.state.groups().contains(g.first); });
     std::erase_if(decisions_,
                   [&](const auto& d) { return !pass.state.groups().contains(d.first); });
     for (const auto& [epoch, group] : pass.state.groups()) {
         GroupView& view = groups_[epoch];
-        if (view.first_seen == Time{})
-            view.first_seen = pass.now;
+        if (view.not_open_since == Time{})
+            view.not_open_since = pass.now;
         const auto lead = hosts_.find(group.lead().host);
         const bool fresh = lead != hosts_.end() &&
                            !silent(pass.state.hosts().at(group.lead().host),
@@ -190,22 +195,23 @@
         HostView& view = hosts_[name];
         const bool is_silent = silent(host, pass.settings(host.spec.site), pass.now);
         if (is_silent && !view.was_silent) {
-            view.silent_since = std::max(view.heard, started_);
+            view.silent_since = std::max(view.last_status, started_);
             outages_.failed(name, pass.now);
             ++newly_silent[host.spec.domain];
-            emit(EventKind::HostSilent, name, host.bound, {});
+            add_event(EventKind::HostSilent, name, host.bound, {});
         } else if (!is_silent && view.was_silent) {
             outages_.returned(pass.now - view.silent_since);
-            emit(EventKind::HostReturned, name, host.bound, {});
+            add_event(EventKind::HostReturned, name, host.bound, {});
         }
         view.was_silent = is_silent;
     }
     for (const auto& [domain, count] : newly_silent)
         if (count > 1)
-            emit(EventKind::DomainDark, domain, NoEpoch, std::to_string(count) + " hosts silent");
+            add_event(EventKind::DomainDark, domain, NoEpoch,
+                      std::to_string(count) + " hosts silent");
 }
 
-void PlacementPlanner::account(const Pass& pass) {
+void PlacementPlanner::account_losses(const Pass& pass) {
     const double dt = std::chrono::duration<double>(pass.now - accounted_).count();
     accounted_ = pass.now;
     for (const auto& [site, settings] : pass.by_site)
@@ -222,8 +228,8 @@
             stranded_seconds_ += dt * host.spec.accelerators;
 }
 
-// A host is free again only when its agent, in the current incarnation, says that it holds
-// nothing and refuses everything up to the old epoch.
+// A host is free again only when its agent, in the current incarnation, reports that it holds no
+// group and refuses all epochs up to the old one.
 void PlacementPlanner::acknowledge_releases(Pass& pass) {
     for (const auto& [name, host] : pass.state.hosts()) {
         const auto view = hosts_.find(name);
@@ -248,39 +254,39 @@
                           lead->second.status.phase == AgentPhase::Draining &&
                           lead->second.status.in_flight == 0;
         const bool broken = !missing_members(pass, group).empty();
-        const bool late =
+        const bool timed_out =
             pass.now - groups_[epoch].draining_since > pass.settings(group.site).drain_timeout;
-        if (late && !idle && !broken)
-            emit(EventKind::GroupDissolved, "", epoch, "drain deadline cuts work in flight");
-        if (idle || broken || late)
+        if (timed_out && !idle && !broken)
+            add_event(EventKind::GroupDissolved, "", epoch, "drain deadline cuts work in flight");
+        if (idle || broken || timed_out)
             pass.out.push_back(DissolveGroup{epoch, "drained"});
     }
 }
 
 void PlacementPlanner::repair_broken(Pass& pass) {
     for (const auto& [epoch, group] : pass.state.groups()) {
-        if (group.phase != GroupPhase::Active || pass.touched.contains(epoch))
+        if (group.phase != GroupPhase::Active || pass.used_groups.contains(epoch))
             continue;
         const auto missing = missing_members(pass, group);
-        if (!missing.empty() && !pass.domain_in_doubt(*this, group.domain))
+        if (!missing.empty() && !pass.domain_suspected(*this, group.domain))
             repair(pass, group, missing);
         else if (missing.empty())
             decisions_.erase(epoch);
     }
 }
 
-bool PlacementPlanner::Pass::domain_in_doubt(const PlacementPlanner& planner,
-                                             const std::string& domain) const {
+bool PlacementPlanner::Pass::domain_suspected(const PlacementPlanner& planner,
+                                              const std::string& domain) const {
     for (const auto& [name, host] : state.hosts()) {
         if (host.spec.domain != domain || host.spec.role != HostRole::Engine ||
             host.mode == HostMode::Forgotten)
             continue;
-        PlacementSettings half = settings(host.spec.site);
-        if (planner.silent(host, half, now))
+        PlacementSettings suspect_settings = settings(host.spec.site);
+        if (planner.silent(host, suspect_settings, now))
             continue;
-        half.silent_after = Duration(static_cast<Duration::rep>(
-            SuspectShare * static_cast<double>(half.silent_after.count())));
-        if (planner.silent(host, half, now))
+        suspect_settings.silent_after = Duration(static_cast<Duration::rep>(
+            SuspicionShare * static_cast<double>(suspect_settings.silent_after.count())));
+        if (planner.silent(host, suspect_settings, now))
             return true;
     }
     return false;
@@ -295,56 +301,58 @@
         known == decisions_.end() || known->second.choices.front().repair != best.repair;
     decisions_[group.epoch] = decision;
     if (changed)
-        emit(EventKind::RepairChosen, missing.front(), group.epoch,
-             std::string(name_of(best.repair)) + " at price " + std::to_string(best.price));
+        add_event(EventKind::RepairChosen, missing.front(), group.epoch,
+                  std::string(name_of(best.repair)) + " at price " + std::to_string(best.price));
     if (best.repair == Repair::Wait)
         return;
-    pass.touched.insert(group.epoch);
+    pass.used_groups.insert(group.epoch);
     pass.out.push_back(DissolveGroup{group.epoch, std::string(name_of(best.repair)) + ": " +
                                                       missing.front() + " is missing"});
     if (best.other != NoEpoch) {
-        pass.touched.insert(best.other);
+        pass.used_groups.insert(best.other);
         pass.out.push_back(DissolveGroup{best.other, "merged"});
     }
     if (!best.members.empty()) {
-        intended_[group.epoch] = best.members;
-        pass.taken.insert(best.members.begin(), best.members.end());
+        reserved_[group.epoch] = best.members;
+        pass.used_hosts.insert(best.members.begin(), best.members.end());
     }
 }
 
-// A load that takes far too long, or a cut that only the lead sees.
-void PlacementPlanner::drop_stuck(Pass& pass) {
+// Dissolves groups whose load takes far too long, and groups that stay closed because of a
+// partition that only the lead detects.
+void PlacementPlanner::dissolve_stuck(Pass& pass) {
     for (const auto& [epoch, group] : pass.state.groups()) {
         GroupView& view = groups_[epoch];
         if (view.open)
-            view.first_seen = pass.now;
-        if (group.phase != GroupPhase::Active || view.open || pass.touched.contains(epoch) ||
+            view.not_open_since = pass.now;
+        if (group.phase != GroupPhase::Active || view.open || pass.used_groups.contains(epoch) ||
             !missing_members(pass, group).empty())
             continue;
         const PlacementSettings& settings = pass.settings(group.site);
         const WantedModel* wanted = pass.wanted(group.site, group.model.model);
         const double mb = wanted == nullptr ? 0 : wanted->weight_mb;
         const auto load = std::chrono::duration<double>(
-            LoadSlack * mb * static_cast<double>(group.members.size() * settings.loads_at_once) /
+            LoadTimeoutFactor * mb *
+            static_cast<double>(group.members.size() * settings.loads_at_once) /
             settings.store_mb_per_second);
         const Duration limit =
-            view.ever_open ? StuckAfter : LoadGrace + std::chrono::duration_cast<Duration>(load);
-        if (pass.now - view.first_seen < limit || settings.policy == PlacementPolicy::Wait)
+            view.ever_open ? StuckTimeout : LoadGrace + std::chrono::duration_cast<Duration>(load);
+        if (pass.now - view.not_open_since < limit || settings.policy == PlacementPolicy::Wait)
             continue;
         const auto lead = hosts_.find(group.lead().host);
         if (lead != hosts_.end())
             for (const HostName& name : lead->second.status.missing)
                 outages_.failed(name, pass.now);
-        pass.touched.insert(epoch);
+        pass.used_groups.insert(epoch);
         pass.out.push_back(DissolveGroup{epoch, "not open for too long"});
     }
 }
 
-// Make before break: the replacement of a group with a leaving host is formed first where
-// enough hosts are free.
+// Make before break: if enough hosts are free, the replacement of a group with a leaving host is
+// formed before the group is drained.
 void PlacementPlanner::drain_leaving(Pass& pass) {
     for (const auto& [epoch, group] : pass.state.groups()) {
-        if (group.phase != GroupPhase::Active || pass.touched.contains(epoch))
+        if (group.phase != GroupPhase::Active || pass.used_groups.contains(epoch))
             continue;
         const auto leaves = [&](const Member& member) {
             const auto view = hosts_.find(member.host);
@@ -363,35 +371,35 @@
             return g.epoch != own && serving(g.epoch);
         });
         const bool replaced = wanted == nullptr || open >= wanted->replicas;
-        const bool waited = pass.now - view.draining_since > ReplacementWait;
+        const bool waited = pass.now - view.draining_since > ReplacementTimeout;
         if (!replaced && !waited && serving(epoch)) {
             if (active > wanted->replicas)
-                continue; // the replacement loads
+                continue; // the replacement is loading
             const auto hosts = pick_domain(pass, *wanted, "");
             if (hosts && form(pass, *wanted, *hosts, "replaces a leaving group"))
                 continue;
         }
-        pass.touched.insert(epoch);
+        pass.used_groups.insert(epoch);
         pass.out.push_back(DrainGroup{epoch, "a member is leaving"});
     }
 }
 
-// One group at a time, and only while the rest of the model's groups serve.
-void PlacementPlanner::roll_versions(Pass& pass) {
+// Replaces one group of an old version at a time, and only while all groups of the model serve.
+void PlacementPlanner::roll_out_versions(Pass& pass) {
     for (const auto& [site, settings] : pass.by_site)
         for (const WantedModel& wanted : settings.models) {
             const Group* old = nullptr;
-            bool calm = true;
+            bool all_serve = true;
             for (const auto& [epoch, group] : pass.state.groups()) {
                 if (group.site != site || group.model.model != wanted.spec.model)
                     continue;
                 const bool other = group.model != wanted.spec;
-                calm = calm && group.phase == GroupPhase::Active && serving(epoch) &&
-                       !pass.touched.contains(epoch);
+                all_serve = all_serve && group.phase == GroupPhase::Active && serving(epoch) &&
+                            !pass.used_groups.contains(epoch);
                 if (other && group.phase == GroupPhase::Active && old == nullptr)
                     old = &group;
             }
-            if (old == nullptr || !calm)
+            if (old == nullptr || !all_serve)
                 continue;
             const auto active = pass.count_groups(site, wanted.spec.model);
             if (active <= wanted.replicas && wanted.replicas > 0) {
@@ -399,13 +407,13 @@
                 if (hosts && form(pass, wanted, *hosts, "new version before the old one stops"))
                     continue;
             }
-            pass.touched.insert(old->epoch);
+            pass.used_groups.insert(old->epoch);
             pass.out.push_back(DrainGroup{old->epoch, "new version"});
         }
 }
 
-void PlacementPlanner::meet_wants(Pass& pass) {
-    for (auto it = intended_.begin(); it != intended_.end();) {
+void PlacementPlanner::meet_targets(Pass& pass) {
+    for (auto it = reserved_.begin(); it != reserved_.end();) {
         const auto old = pass.state.groups().find(it->first);
         const auto& hosts = it->second;
         const bool lost = std::any_of(hosts.begin(), hosts.end(), [&](const HostName& name) {
@@ -416,11 +424,11 @@
         });
         if (lost || free ||
             (old != pass.state.groups().end() && old->second.phase == GroupPhase::Active &&
-             !pass.touched.contains(it->first))) {
-            it = intended_.erase(it);
+             !pass.used_groups.contains(it->first))) {
+            it = reserved_.erase(it);
             continue;
         }
-        pass.taken.insert(hosts.begin(), hosts.end());
+        pass.used_hosts.insert(hosts.begin(), hosts.end());
         ++it;
     }
     for (const auto& [site, settings] : pass.by_site)
@@ -436,8 +444,8 @@
         }
 }
 
-// Only groups of the wanted version count as surplus, and only when the wanted number serves:
-// otherwise the surplus is a replacement on its way.
+// Groups are surplus only if more groups of the wanted version serve than are wanted. Otherwise the
+// additional groups are replacements that are still loading.
 void PlacementPlanner::Pass::drop_surplus(const PlacementPlanner& planner, const std::string& site,
                                           const WantedModel& wanted, std::size_t surplus) {
     const auto open = count_groups(site, wanted.spec.model, [&](const Group& g) {
@@ -448,9 +456,9 @@
     for (auto it = state.groups().rbegin(); it != state.groups().rend() && surplus > 0; ++it) {
         const Group& group = it->second;
         if (group.site != site || group.model.model != wanted.spec.model ||
-            group.phase != GroupPhase::Active || touched.contains(group.epoch))
+            group.phase != GroupPhase::Active || used_groups.contains(group.epoch))
             continue;
-        touched.insert(group.epoch);
+        used_groups.insert(group.epoch);
         out.push_back(DrainGroup{group.epoch, "more groups than wanted"});
         --surplus;
     }
@@ -471,7 +479,7 @@
     command.reason = reason;
     for (const HostName& name : hosts) {
         command.members.push_back({name, pass.state.hosts().at(name).incarnation});
-        pass.taken.insert(name);
+        pass.used_hosts.insert(name);
     }
     ++pass.formed[site];
     pass.out.push_back(std::move(command));
--- a/src/process/placement.h
+++ b/src/process/placement.h
@@ -1,3 +1,6 @@
+// Placement of serving groups on hosts that run an agent, and their repair. Run by
+// liftweir-control.
+
 #ifndef PLACEMENT_H_INCLUDED
 #define PLACEMENT_H_INCLUDED
 
@@ -17,7 +20,7 @@
 
 enum class PlacementPolicy : std::uint8_t { Priced, Rebuild, Wait };
 
-// One model that a site wants.
+// A model that the settings of a site ask for.
 struct WantedModel {
     ModelSpec spec;
     std::size_t replicas = 0;
@@ -27,7 +30,7 @@
     auto operator<=>(const WantedModel&) const = default;
 };
 
-// The part of a site's settings that decides placement.
+// The settings of a site that control placement.
 struct PlacementSettings {
     PlacementPolicy policy = PlacementPolicy::Priced;
     double downtime_weight = 1;
@@ -46,11 +49,11 @@
 
 std::string_view name_of(Repair repair);
 
-// One way to deal with a broken group, with its price.
+// One way to repair a broken group, with its price.
 struct RepairChoice {
     Repair repair = Repair::Wait;
     std::vector<HostName> members; // of the new group
-    Epoch other = NoEpoch;         // second broken group of a merge
+    Epoch other = NoEpoch;         // the other broken group of a merge
     Duration downtime{};
     double stranded_accelerator_seconds = 0;
     double price = 0;
@@ -62,12 +65,12 @@
     std::string reason;
 };
 
-// Decides which hosts form each group and what happens to broken ones. Runs on the leading
-// control host only; it holds observations, never the truth: its commands are checked again when
-// they are applied.
+// Decides which hosts form each group and how broken groups are repaired. Runs on the leading
+// control host only. It works from observations that may be out of date, so its commands are
+// checked again when they are applied.
 class PlacementPlanner {
   public:
-    // A new leader gives every host the full silence before it believes that it is gone.
+    // Starts a new leadership. Every host has the full silence timeout to report from now on.
     void reset(Time now);
     void observe(const AgentStatus& status, Time now);
     std::vector<Command> plan(const State& state,
@@ -77,18 +80,18 @@
     bool serving(Epoch epoch) const;
     const std::map<Epoch, RepairDecision>& decisions() const { return decisions_; }
     std::vector<Event> take_events();
-    // Group seconds and live accelerator seconds lost so far, for the measures of the users.
+    // Group seconds and live accelerator seconds lost so far, for the metrics.
     double downtime_seconds() const { return downtime_seconds_; }
     double stranded_accelerator_seconds() const { return stranded_seconds_; }
 
   private:
     struct HostView {
         AgentStatus status;
-        Time heard{};
+        Time last_status{};
         bool was_silent = false;
         Time silent_since{};
-        Time gone_since{};                 // when its endpoint's process ended last
-        std::optional<ModelSpec> resident; // weights that its engine holds
+        Time gone_since{};                 // last end of its endpoint's process
+        std::optional<ModelSpec> resident; // model whose weights its engine holds
 
         bool holds(const ModelSpec& spec) const {
             return resident && resident->model == spec.model && resident->version == spec.version;
@@ -97,21 +100,21 @@
     struct GroupView {
         bool open = false;
         bool ever_open = false;
-        Time first_seen{};
+        Time not_open_since{};
         Time draining_since{};
     };
     struct Pass; // one run of plan()
 
-    void account(const Pass& pass);
-    void note_silence(Pass& pass);
+    void account_losses(const Pass& pass);
+    void update_views(Pass& pass);
     void acknowledge_releases(Pass& pass);
     void finish_drains(Pass& pass);
     void drain_leaving(Pass& pass);
     void repair_broken(Pass& pass);
     void repair(Pass& pass, const Group& group, const std::vector<HostName>& missing);
-    void drop_stuck(Pass& pass);
-    void roll_versions(Pass& pass);
-    void meet_wants(Pass& pass);
+    void dissolve_stuck(Pass& pass);
+    void roll_out_versions(Pass& pass);
+    void meet_targets(Pass& pass);
 
     RepairDecision price(Pass& pass, const Group& group, const std::vector<HostName>& missing);
     void price_replace(Pass& pass, const Group& group, const std::vector<HostName>& survivors,
@@ -129,15 +132,15 @@
     std::vector<HostName> missing_members(const Pass& pass, const Group& group) const;
     bool usable(const Pass& pass, const Host& host) const;
     bool has_left(const Group& group, const Host& host) const;
-    bool intended(const HostName& host) const;
+    bool is_reserved(const HostName& host) const;
     bool form(Pass& pass, const WantedModel& wanted, const std::vector<HostName>& hosts,
               const std::string& reason);
-    void emit(EventKind kind, const std::string& host, Epoch group, std::string detail);
+    void add_event(EventKind kind, const std::string& host, Epoch group, std::string detail);
 
     std::map<HostName, HostView> hosts_;
     std::map<Epoch, GroupView> groups_;
     std::map<Epoch, RepairDecision> decisions_;
-    std::map<Epoch, std::vector<HostName>> intended_; // hosts promised to a repair, by old group
+    std::map<Epoch, std::vector<HostName>> reserved_; // hosts reserved for a repair, by old group
     OutageStats outages_;
     std::vector<Event> events_;
     Time started_{};
--- a/src/process/pass.h
+++ b/src/process/placementpass.h
@@ -1,18 +1,20 @@
-#ifndef PASS_H_INCLUDED
-#define PASS_H_INCLUDED
+// The data of one placement planning run. Used by liftweir-control.
+
+#ifndef PLACEMENTPASS_H_INCLUDED
+#define PLACEMENTPASS_H_INCLUDED
 
 #include "process/placement.h"
 
 namespace liftweir {
 
-// What one run of the planner works on: its inputs, what it has promised so far, its commands.
+// The inputs of one planning run, the hosts and groups that it has already used, and its commands.
 struct PlacementPlanner::Pass {
     const State& state;
     const std::map<std::string, PlacementSettings>& by_site;
     Time now;
     std::vector<Command> out = {};
-    std::set<HostName> taken = {};                  // hosts promised in this run
-    std::set<Epoch> touched = {};                   // groups that a command of this run changes
+    std::set<HostName> used_hosts = {};             // hosts reserved in this run
+    std::set<Epoch> used_groups = {};               // groups that a command of this run changes
     std::map<std::string, std::size_t> formed = {}; // groups formed in this run, by site
 
     const PlacementSettings& settings(const std::string& site) const {
@@ -28,14 +30,14 @@
         return nullptr;
     }
 
-    // Active groups of a model that no command of this run ends.
+    // Counts the active groups of a model that no command of this run ends.
     template <typename Filter>
     std::size_t count_groups(const std::string& site, const std::string& model,
                              Filter filter) const {
         std::size_t count = 0;
         for (const auto& [epoch, group] : state.groups())
             if (group.site == site && group.model.model == model &&
-                group.phase == GroupPhase::Active && !touched.contains(epoch) && filter(group))
+                group.phase == GroupPhase::Active && !used_groups.contains(epoch) && filter(group))
                 ++count;
         return count;
     }
@@ -43,11 +45,11 @@
         return count_groups(site, model, [](const Group&) { return true; });
     }
 
-    bool domain_in_doubt(const PlacementPlanner& planner, const std::string& domain) const;
+    bool domain_suspected(const PlacementPlanner& planner, const std::string& domain) const;
     void drop_surplus(const PlacementPlanner& planner, const std::string& site,
                       const WantedModel& wanted, std::size_t surplus);
 };
 
 } // namespace liftweir
 
-#endif // PASS_H_INCLUDED
+#endif // PLACEMENTPASS_H_INCLUDED
--- a/src/process/pricing.cpp
+++ b/src/process/pricing.cpp
@@ -1,21 +1,21 @@
-#include "process/pass.h"
+// Prices the ways to repair a broken group. Price = downtime weight x expected seconds without the
+// group + stranded weight x expected accelerator seconds without a serving group.
 
-#include <algorithm>
+#include "process/placementpass.h"
 
-// The priced choice for a broken group. Price = downtime weight x expected seconds without the
-// group + stranded weight x expected accelerator seconds without a serving group.
+#include <algorithm>
 
 namespace liftweir {
 
 namespace {
 
-// A repair must be this much cheaper than waiting: estimates are rough, and a host that returns
-// a second later would make it a wasted load.
-constexpr double Hysteresis = 0.85;
+// Factor on the price of waiting, so that a repair has to be clearly cheaper: estimates are rough,
+// and the load is wasted if the host returns a second later.
+constexpr double WaitPriceFactor = 0.85;
 // Time for the members to acknowledge the release and for the gate of the new group to open.
 constexpr double RegroupSeconds = 2;
-// Expected extra downtime for each recent failure of a chosen host.
-constexpr double HazardSeconds = 5;
+// Expected additional downtime for each recent failure of a chosen host.
+constexpr double SecondsPerHazard = 5;
 
 double seconds(Duration d) {
     return std::chrono::duration<double>(d).count();
@@ -27,20 +27,21 @@
 
 } // namespace
 
-bool PlacementPlanner::intended(const HostName& host) const {
-    return std::any_of(intended_.begin(), intended_.end(), [&](const auto& item) {
+bool PlacementPlanner::is_reserved(const HostName& host) const {
+    return std::any_of(reserved_.begin(), reserved_.end(), [&](const auto& item) {
         return std::count(item.second.begin(), item.second.end(), host) > 0;
     });
 }
 
-// Hosts that may form a group now, best first: weights already resident, then few recent
-// failures, then by name for a stable order.
+// Hosts that may form a group now, ordered by their recent failures. Resident weights offset half a
+// failure; ties are ordered by name.
 std::vector<HostName> PlacementPlanner::free_hosts(const Pass& pass, const std::string& domain,
                                                    const ModelSpec& spec) const {
     std::vector<HostName> out;
     for (const auto& [name, host] : pass.state.hosts())
         if (host.spec.domain == domain && host.bound == NoEpoch && usable(pass, host) &&
-            hosts_.at(name).status.held == NoEpoch && !pass.taken.contains(name) && !intended(name))
+            hosts_.at(name).status.held == NoEpoch && !pass.used_hosts.contains(name) &&
+            !is_reserved(name))
             out.push_back(name);
     std::stable_sort(out.begin(), out.end(), [&](const HostName& a, const HostName& b) {
         const auto rank = [&](const HostName& name) {
@@ -52,8 +53,8 @@
     return out;
 }
 
-// The domain where the most weights are already loaded, then the one that keeps the most spare
-// hosts: a group with a spare beside it is repaired without leaving its domain.
+// Chooses the domain with the most hosts that already hold the weights, and of those the one with
+// the most free hosts: a group with spares in its domain can be repaired within the domain.
 std::optional<std::vector<HostName>>
 PlacementPlanner::pick_domain(const Pass& pass, const WantedModel& wanted,
                               const std::string& not_domain) const {
@@ -64,7 +65,7 @@
     std::optional<std::vector<HostName>> best;
     std::pair<std::ptrdiff_t, std::size_t> best_rank{-1, 0};
     for (const std::string& domain : domains) {
-        if (domain == not_domain || pass.domain_in_doubt(*this, domain))
+        if (domain == not_domain || pass.domain_suspected(*this, domain))
             continue;
         auto hosts = free_hosts(pass, domain, wanted.spec);
         if (hosts.size() < wanted.hosts_per_group)
@@ -82,7 +83,8 @@
     return best;
 }
 
-// The weight store is shared: what loads now is served first.
+// Expected time to load the weights. The weight store is shared, and loads in progress are assumed
+// to finish first.
 Duration PlacementPlanner::load_time(const Pass& pass, const std::vector<HostName>& hosts,
                                      const WantedModel& wanted) const {
     double mb = 0;
@@ -118,7 +120,7 @@
             std::max(remaining, outages_.expected_remaining(pass.now - since, settings.outage));
     }
     std::vector<HostName> survivors;
-    double idle = 0; // live accelerators of the broken group
+    double idle = 0; // accelerators of the surviving members
     for (const Member& member : group.members)
         if (std::count(missing.begin(), missing.end(), member.host) == 0) {
             survivors.push_back(member.host);
@@ -142,9 +144,9 @@
     for (RepairChoice& choice : out.choices) {
         price_of(choice);
         if (choice.repair == Repair::Wait)
-            choice.price *= Hysteresis;
+            choice.price *= WaitPriceFactor;
         if (choice.repair == Repair::Leave)
-            choice.price *= 2; // the hosts would be taken apart for nothing
+            choice.price *= 2; // dissolving the group gains nothing by itself
     }
     if (settings.policy == PlacementPolicy::Rebuild)
         std::erase_if(out.choices, [](const RepairChoice& c) { return c.repair == Repair::Wait; });
@@ -154,7 +156,7 @@
     return out;
 }
 
-// Spares of the same domain take the places of the missing members.
+// Prices a group of the survivors and spares of the same domain.
 void PlacementPlanner::price_replace(Pass& pass, const Group& group,
                                      const std::vector<HostName>& survivors, Duration remaining,
                                      RepairDecision& out) {
@@ -174,10 +176,10 @@
     for (const HostName& name : choice.members) {
         accelerators += pass.state.hosts().at(name).spec.accelerators;
         if (std::count(survivors.begin(), survivors.end(), name) == 0)
-            extra += HazardSeconds * outages_.hazard(name, pass.now);
+            extra += SecondsPerHazard * outages_.hazard(name, pass.now);
     }
     choice.downtime = load_time(pass, choice.members, wanted) + from_seconds(extra);
-    // The spares stand idle until then whatever is chosen; waiting keeps them idle longer.
+    // The spares are idle until then whatever is chosen, and waiting keeps them idle for longer.
     const double idle_spares = accelerators - [&] {
         double sum = 0;
         for (const HostName& name : survivors)
@@ -189,7 +191,7 @@
     out.choices.push_back(std::move(choice));
 }
 
-// A whole new group in another domain; the survivors stay idle until their partners return.
+// Prices a new group in another domain. The survivors stay idle until the missing members return.
 void PlacementPlanner::price_move(Pass& pass, const Group& group, double idle, Duration remaining,
                                   RepairDecision& out) {
     const WantedModel& wanted = *pass.wanted(group.site, group.model.model);
@@ -202,7 +204,7 @@
     double extra = 0;
     for (const HostName& name : *hosts) {
         accelerators += pass.state.hosts().at(name).spec.accelerators;
-        extra += HazardSeconds * outages_.hazard(name, pass.now);
+        extra += SecondsPerHazard * outages_.hazard(name, pass.now);
     }
     choice.downtime = load_time(pass, *hosts, wanted) + from_seconds(extra);
     choice.stranded_accelerator_seconds =
@@ -211,7 +213,7 @@
     out.choices.push_back(std::move(choice));
 }
 
-// What is left of two broken groups of one domain becomes one whole group. The other group then
+// Prices one group of the survivors of two broken groups of the same domain. The other group then
 // waits for more hosts than before.
 void PlacementPlanner::price_merge(Pass& pass, const Group& group,
                                    const std::vector<HostName>& survivors, Duration remaining,
@@ -219,7 +221,7 @@
     const WantedModel& wanted = *pass.wanted(group.site, group.model.model);
     for (const auto& [epoch, other] : pass.state.groups()) {
         if (epoch <= group.epoch || other.domain != group.domain ||
-            other.phase != GroupPhase::Active || pass.touched.contains(epoch))
+            other.phase != GroupPhase::Active || pass.used_groups.contains(epoch))
             continue;
         const auto other_missing = missing_members(pass, other);
         if (other_missing.empty())
@@ -238,7 +240,7 @@
         double accelerators = 0;
         for (const HostName& name : members)
             accelerators += pass.state.hosts().at(name).spec.accelerators;
-        // Both groups would wait; one of them serves instead, the other loads anew afterwards.
+        // Instead of both groups waiting, one of them serves and the other reloads afterwards.
         const Duration reload = load_time(pass, members, wanted);
         choice.downtime += reload;
         choice.stranded_accelerator_seconds =
