--- a/src/process/shard.cpp
+++ b/src/process/shard.cpp
@@ -1,3 +1,5 @@
+// Relays each request: admission, choice of an endpoint, attempts at agents, and the answer.
+
 #include "process/shard.h"
 
 #include "connection/endpoint.h"
@@ -12,14 +14,14 @@
 
 namespace {
 
-// Bytes of one stream that may be between an agent and its caller: enough for seconds of tokens,
-// little enough that 5,000 stalled readers cost a gigabyte at the very worst.
-constexpr std::uint32_t StreamWindow = 128 * 1024;
-// After a refusal the endpoint is left alone until its gate can have changed.
+// Bytes of one stream that may be in flight between an agent and its caller: enough for seconds of
+// tokens, and little enough that 5,000 stalled readers take at most a gigabyte of memory.
+constexpr std::uint32_t StreamWindowBytes = 128 * 1024;
+// After a refusal no requests go to the endpoint until its gate may have changed.
 constexpr Duration RefusalBackoff = std::chrono::milliseconds(200);
-constexpr Duration RetryHint = std::chrono::milliseconds(500);
-// How often a host that leaves looks for connections that it can end.
-constexpr Duration SweepEvery = std::chrono::milliseconds(25);
+constexpr Duration RetryAfter = std::chrono::milliseconds(500);
+// How often a draining host looks for connections that it can close.
+constexpr Duration SweepInterval = std::chrono::milliseconds(25);
 
 std::vector<HttpHeader> outcome_headers(Outcome outcome, Duration retry_after) {
     std::vector<HttpHeader> headers{{"Liftweir-Outcome", std::string(name_of(outcome))}};
@@ -49,7 +51,7 @@
       keys(c.cluster_keys),
       table(std::make_shared<const Table>()) {}
 
-// Chooses endpoints for one call through the router, by the newest table.
+// Chooses endpoints for one call through the router and the newest table.
 class Shard::CallPlacer final : public EndpointPicker {
   public:
     explicit CallPlacer(Shard& shard) : shard_(shard) {}
@@ -87,9 +89,9 @@
             Metrics::instance().counter("liftweir_retries_total").add();
         return taken;
     }
-    Duration retry_after() const override { return RetryHint; }
+    Duration retry_after() const override { return RetryAfter; }
 
-    // Statistics of the endpoint that was placed last.
+    // Returns the statistics of the endpoint that was chosen last.
     std::shared_ptr<TargetStats> take_stats() { return std::move(stats_); }
 
   private:
@@ -97,8 +99,8 @@
     std::shared_ptr<TargetStats> stats_;
 };
 
-struct Shard::Active {
-    Active(asio::io_context& io, Shard& shard) : placer(shard), timer(io) {}
+struct Shard::ActiveCall {
+    ActiveCall(asio::io_context& io, Shard& shard) : placer(shard), timer(io) {}
 
     struct Sent {
         std::shared_ptr<TargetStats> stats;
@@ -109,7 +111,7 @@
 
     CallPlacer placer;
     std::unique_ptr<Call> call;
-    std::shared_ptr<HttpExchange> exchange; // null once the caller is answered or gone
+    std::shared_ptr<HttpExchange> exchange; // null once the caller has disconnected
     std::map<AttemptId, Sent> sent;
     TrafficClass traffic_class;
     std::uint32_t slots = 0;
@@ -118,7 +120,7 @@
     std::uint32_t claims_limit = 0;
     Customer customer;
     asio::steady_timer timer;
-    Time armed{};
+    Time timer_due{};
     Time began{};
     bool limited = false;
 };
@@ -127,16 +129,16 @@
     : shared_(shared),
       work_(asio::make_work_guard(io_)),
       router_(shared.config.zone, seed),
-      draining_(io_, SweepEvery, [this] { sweep_draining(); }) {}
+      drain_sweep_(io_, SweepInterval, [this] { sweep_draining(); }) {}
 
 Shard::~Shard() = default;
 
 void Shard::run() {
-    const bool alone = shared_.config.threads == 1;
+    const bool single_threaded = shared_.config.threads == 1;
     http_ = serve_http(
         io_, shared_.config.http, HttpServerLimits{},
         [this](std::shared_ptr<HttpExchange> e) { on_request(std::move(e)); },
-        alone ? AddressUse::Exclusive : AddressUse::Shared);
+        single_threaded ? AddressUse::Exclusive : AddressUse::Shared);
     sync_dialers();
     io_.run();
 }
@@ -149,11 +151,12 @@
     asio::post(io_, [this] {
         http_->stop_accepting();
         http_->close_after_answers();
-        draining_.start();
+        drain_sweep_.start();
     });
 }
 
-// An answer that is given is not yet with its caller: a slow reader would lose the rest of it.
+// The host stays busy until all answers have left its connections. Otherwise a slow reader would
+// lose the rest of its answer.
 void Shard::sweep_draining() {
     http_->close_idle();
     busy_.store(http_->busy() > 0, std::memory_order_relaxed);
@@ -163,12 +166,12 @@
     io_.stop();
 }
 
-Shard::Active* Shard::find(std::uint64_t sequence) {
+Shard::ActiveCall* Shard::find(std::uint64_t sequence) {
     const auto found = calls_.find(sequence);
     return found == calls_.end() ? nullptr : found->second.get();
 }
 
-// ---- a request's arrival
+// ---- arrival of a request
 
 void Shard::on_request(std::shared_ptr<HttpExchange> exchange) {
     const auto ready = [&] { return !shared_.leaving && shared_.lease_holds(BootClock::now()); };
@@ -179,10 +182,10 @@
     const auto refuse = [&](FailureKind kind, const char* text, Duration retry_after) {
         respond_failure(*exchange, {kind, text}, Outcome::NotRun, retry_after);
     };
-    // The lease first, then the table: the other way round a table could be replaced, and the
-    // replacement declared in force, between the two.
+    // The lease is checked before the table is read. In the opposite order the table could be
+    // replaced and the replacement be declared in force between the two steps.
     if (!shared_.lease_holds(BootClock::now()))
-        return refuse(FailureKind::NoQuorum, "settings can not be confirmed", RetryHint);
+        return refuse(FailureKind::NoQuorum, "settings can not be confirmed", RetryAfter);
     const auto table = shared_.table.load(std::memory_order_acquire);
     const std::string authorization = exchange->header("Authorization");
     const auto token = bearer_token(authorization);
@@ -191,7 +194,7 @@
     if (customer == table->customers.end())
         return refuse(FailureKind::Unauthorized, "missing or unknown API key", {});
     if (shared_.draining)
-        return refuse(FailureKind::Draining, "this entry host is leaving", RetryHint);
+        return refuse(FailureKind::Draining, "this entry host is leaving", RetryAfter);
     if (exchange->path() == "/v1/models" && exchange->method() == "GET")
         return respond_json(*exchange, 200, models_body(*table));
     admit(exchange, table, customer->second);
@@ -218,7 +221,7 @@
     spec.answer_bytes = table->answer_bytes;
     const std::uint64_t sequence = spec.sequence;
 
-    auto active = std::make_unique<Active>(io_, *this);
+    auto active = std::make_unique<ActiveCall>(io_, *this);
     active->exchange = exchange;
     active->traffic_class = parsed->traffic_class;
     active->slots = parsed->slots;
@@ -231,13 +234,13 @@
     active->call = std::make_unique<Call>(std::move(spec), active->placer);
     exchange->on_disconnect([this, sequence] {
         asio::post(io_, [this, sequence] {
-            if (Active* a = find(sequence)) {
+            if (ActiveCall* a = find(sequence)) {
                 a->exchange.reset();
                 run_actions(*a, a->call->on_caller_gone(BootClock::now()));
             }
         });
     });
-    Active& ref = *active;
+    ActiveCall& ref = *active;
     calls_.emplace(sequence, std::move(active));
     shared_.calls.fetch_add(1, std::memory_order_relaxed);
     run_actions(ref, ref.call->start(now));
@@ -245,12 +248,12 @@
 
 // ---- actions
 
-void Shard::run_actions(Active& active, CallActions actions) {
+void Shard::run_actions(ActiveCall& active, CallActions actions) {
     const std::uint64_t sequence = active.call->spec().sequence;
     for (CallAction& action : actions) {
         std::visit([&](auto& a) { perform(active, a); }, action);
         if (find(sequence) != &active)
-            return; // an action's own consequence ended the call
+            return; // the action has ended the call
     }
     if (active.call->done())
         finish(sequence);
@@ -258,18 +261,18 @@
         arm_timer(active);
 }
 
-void Shard::arm_timer(Active& active) {
+void Shard::arm_timer(ActiveCall& active) {
     const Time due = active.call->next_timer();
-    if (due == active.armed)
+    if (due == active.timer_due)
         return;
-    active.armed = due;
+    active.timer_due = due;
     active.timer.expires_after(due - BootClock::now());
     active.timer.async_wait(
         [this, sequence = active.call->spec().sequence](asio::error_code error) {
-            Active* a = error ? nullptr : find(sequence);
+            ActiveCall* a = error ? nullptr : find(sequence);
             if (a == nullptr)
                 return;
-            a->armed = {};
+            a->timer_due = {};
             run_actions(*a, a->call->on_timer(BootClock::now()));
         });
 }
@@ -286,7 +289,7 @@
                                           BootClock::now());
 }
 
-void Shard::perform(Active& active, SendAttempt& action) {
+void Shard::perform(ActiveCall& active, SendAttempt& action) {
     const CallSpec& spec = active.call->spec();
     Attempt attempt;
     attempt.id = action.id;
@@ -307,7 +310,7 @@
     attempt.traffic_class = active.traffic_class.name;
     attempt.early_refusal = active.early_refusal;
     attempt.resume_tokens = action.resume_tokens;
-    attempt.window = spec.streamed ? StreamWindow : 0;
+    attempt.window = spec.streamed ? StreamWindowBytes : 0;
     attempt.expected_tokens = spec.expected_tokens;
     attempt.slots = active.slots;
     attempt.repeatable = spec.repeatable;
@@ -324,9 +327,9 @@
     const auto dialer = dialers_.find(action.place.address);
     if (dialer != dialers_.end() && dialer->second->send(attempt))
         return;
-    // Nothing left this process: this is a refusal, known at once.
+    // The request never left this process, so this counts as a refusal.
     asio::post(io_, [this, id = action.id] {
-        if (Active* a = find(id.sequence)) {
+        if (ActiveCall* a = find(id.sequence)) {
             note_end(id, 0, 0);
             run_actions(*a, a->call->on_refused(Refused{id, FailureKind::NoEndpoint, 0, 0, 0},
                                                 BootClock::now()));
@@ -334,25 +337,25 @@
     });
 }
 
-void Shard::perform(Active& /*active*/, CancelSent& action) {
+void Shard::perform(ActiveCall& /*active*/, CancelSent& action) {
     const auto dialer = dialers_.find(action.place.address);
     if (dialer != dialers_.end())
         dialer->second->send(CancelAttempt{action.id});
 }
 
-void Shard::perform(Active& active, SendClaim& action) {
+void Shard::perform(ActiveCall& active, SendClaim& action) {
     const CallSpec& spec = active.call->spec();
     ClaimOnce claim{spec.customer, spec.idempotency_key, spec.digest,
                     action.id,     wall_millis(),        active.claims_limit};
     shared_.submit(claim, [this, sequence = spec.sequence](const CommandReply& reply) {
         asio::post(io_, [this, sequence, reply] {
-            if (Active* a = find(sequence))
+            if (ActiveCall* a = find(sequence))
                 run_actions(*a, a->call->on_claim(reply, BootClock::now()));
         });
     });
 }
 
-void Shard::perform(Active& active, SendCloseClaim& action) {
+void Shard::perform(ActiveCall& active, SendCloseClaim& action) {
     const CallSpec& spec = active.call->spec();
     if (action.phase == ClaimPhase::Unknown)
         record({.kind = EventKind::ClaimUnknown, .request = to_text(action.id)});
@@ -361,24 +364,24 @@
                    nullptr);
 }
 
-void Shard::perform(Active& active, SendDropClaim& action) {
+void Shard::perform(ActiveCall& active, SendDropClaim& action) {
     const CallSpec& spec = active.call->spec();
     shared_.submit(DropClaim{spec.customer, spec.idempotency_key, action.id}, nullptr);
 }
 
-void Shard::perform(Active& active, BeginStream& action) {
+void Shard::perform(ActiveCall& active, BeginStream& action) {
     if (active.exchange)
         active.exchange->begin(
             action.status, {{"Content-Type", action.content_type}, {"Cache-Control", "no-cache"}});
 }
 
-// The agent may send on when the caller's connection has taken the bytes.
-void Shard::perform(Active& active, StreamBytes& action) {
+// Grants the agent credit for more bytes once the caller's connection has taken these.
+void Shard::perform(ActiveCall& active, StreamBytes& action) {
     if (!active.exchange)
         return;
     const auto bytes = static_cast<std::uint32_t>(action.bytes.size());
     active.exchange->write(std::move(action.bytes), [this, id = action.from, bytes](bool ok) {
-        Active* a = find(id.sequence);
+        ActiveCall* a = find(id.sequence);
         if (!ok || a == nullptr)
             return;
         const auto sent = a->sent.find(id);
@@ -390,7 +393,7 @@
     });
 }
 
-void Shard::perform(Active& active, EndStream& /*action*/) {
+void Shard::perform(ActiveCall& active, EndStream& /*action*/) {
     static Counter& completed =
         Metrics::instance().counter("liftweir_requests_total", "outcome=\"completed\"");
     completed.add();
@@ -399,7 +402,7 @@
         active.exchange->finish();
 }
 
-void Shard::perform(Active& active, WholeAnswer& action) {
+void Shard::perform(ActiveCall& active, WholeAnswer& action) {
     static Counter& completed =
         Metrics::instance().counter("liftweir_requests_total", "outcome=\"completed\"");
     static LatencyHistogram& whole = Metrics::instance().histogram("liftweir_answer_seconds");
@@ -416,7 +419,7 @@
     active.exchange->respond(action.answer.status, headers, std::move(action.answer.body));
 }
 
-void Shard::perform(Active& active, FailCall& action) {
+void Shard::perform(ActiveCall& active, FailCall& action) {
     if (action.outcome != Outcome::NotRun)
         record({.kind = EventKind::RequestFailed,
                 .request =
@@ -428,7 +431,8 @@
     if (!action.in_stream)
         return respond_failure(*active.exchange, action.failure, action.outcome,
                                action.retry_after);
-    // The stream has no end mark, and says why: it can not be taken for a whole answer.
+    // The stream ends with an error event and without the end mark, so that the caller can not take
+    // it for a complete answer.
     Metrics::instance()
         .counter("liftweir_requests_total",
                  "outcome=\"" + std::string(name_of(action.outcome)) + "\"")
@@ -490,7 +494,7 @@
 }
 
 void Shard::note_end(const AttemptId& id, std::uint32_t running, std::uint32_t waiting) {
-    Active* active = find(id.sequence);
+    ActiveCall* active = find(id.sequence);
     if (active == nullptr)
         return;
     const auto sent = active->sent.find(id);
@@ -506,14 +510,14 @@
     const auto with = [&](const AttemptId& id, auto run) {
         if (id.entry != shared_.identity.incarnation)
             return;
-        if (Active* active = find(id.sequence))
+        if (ActiveCall* active = find(id.sequence))
             run_actions(*active, run(*active));
     };
     if (const auto* state = std::get_if<GateState>(&message)) {
         gates_[address] = *state;
         apply_gate(*state);
     } else if (const auto* chunk = std::get_if<Chunk>(&message)) {
-        with(chunk->id, [&](Active& a) {
+        with(chunk->id, [&](ActiveCall& a) {
             const auto sent = a.sent.find(chunk->id);
             if (sent != a.sent.end() && !std::exchange(sent->second.first_byte, true) &&
                 a.call->spec().streamed) {
@@ -525,12 +529,12 @@
             return a.call->on_chunk(*chunk, now);
         });
     } else if (const auto* head = std::get_if<Head>(&message)) {
-        with(head->id, [&](Active& a) { return a.call->on_head(*head, now); });
+        with(head->id, [&](ActiveCall& a) { return a.call->on_head(*head, now); });
     } else if (const auto* end = std::get_if<End>(&message)) {
         note_end(end->id, end->running, end->waiting);
-        with(end->id, [&](Active& a) { return a.call->on_end(*end, now); });
+        with(end->id, [&](ActiveCall& a) { return a.call->on_end(*end, now); });
     } else if (const auto* refused = std::get_if<Refused>(&message)) {
-        if (Active* active = find(refused->id.sequence)) {
+        if (ActiveCall* active = find(refused->id.sequence)) {
             const auto sent = active->sent.find(refused->id);
             const bool closed = refused->reason == FailureKind::NoEndpoint ||
                                 refused->reason == FailureKind::Draining;
@@ -539,10 +543,10 @@
                     (now + RefusalBackoff).time_since_epoch().count());
         }
         note_end(refused->id, refused->running, refused->waiting);
-        with(refused->id, [&](Active& a) { return a.call->on_refused(*refused, now); });
+        with(refused->id, [&](ActiveCall& a) { return a.call->on_refused(*refused, now); });
     } else if (const auto* broken = std::get_if<Broken>(&message)) {
         note_end(broken->id, 0, 0);
-        with(broken->id, [&](Active& a) { return a.call->on_broken(*broken, now); });
+        with(broken->id, [&](ActiveCall& a) { return a.call->on_broken(*broken, now); });
     }
 }
 
@@ -552,13 +556,13 @@
         gate->second.open = false;
         apply_gate(gate->second);
     }
-    std::vector<std::uint64_t> hit;
+    std::vector<std::uint64_t> affected;
     for (const auto& [sequence, active] : calls_)
         for (const auto& [id, sent] : active->sent)
             if (sent.address == address)
-                hit.push_back(sequence);
-    for (const std::uint64_t sequence : hit) {
-        Active* active = find(sequence);
+                affected.push_back(sequence);
+    for (const std::uint64_t sequence : affected) {
+        ActiveCall* active = find(sequence);
         if (active == nullptr)
             continue;
         std::vector<AttemptId> lost;
--- a/src/process/shard.h
+++ b/src/process/shard.h
@@ -1,3 +1,5 @@
+// One thread of an entry host: accepts requests and relays them to agents. Run by liftweir-entry.
+
 #ifndef SHARD_H_INCLUDED
 #define SHARD_H_INCLUDED
 
@@ -20,7 +22,7 @@
 
 namespace liftweir {
 
-// What the threads of an entry host share. Everything here is atomic or immutable.
+// State shared by the threads of an entry host. All members are atomic or immutable.
 struct EntryShared {
     ProcessConfig config;
     Identity identity;
@@ -33,7 +35,8 @@
     std::atomic<std::uint64_t> calls{0}; // in progress
     RetryBudget retries;
 
-    // Hands a command to the thread that talks to control. The answer comes on any thread.
+    // Passes a command to the thread that is connected to control. The callback may run on any
+    // thread.
     using CommandAnswer = std::function<void(const CommandReply&)>;
     std::function<void(Command, CommandAnswer)> submit;
 
@@ -43,8 +46,8 @@
     }
 };
 
-// One thread of an entry host: its own listener, its own links to the agents, its own calls.
-// Requests never leave the thread that accepted them.
+// Each thread has its own listener, links to the agents and calls. A request stays on the thread
+// that accepted it.
 class Shard {
   public:
     Shard(EntryShared& shared, std::uint64_t seed);
@@ -53,34 +56,34 @@
     void run();
     // Thread-safe.
     void table_changed();
-    // Takes no new connections, ends each with its next answer, and those between two requests.
+    // Stops accepting connections. Open ones are closed after their next answer, idle ones at once.
     void drain();
-    // Whether a request is being read or an answer has not left; true until drain() has begun.
+    // Whether a request is being read or an answer is not fully sent. True until drain() has begun.
     bool busy() const { return busy_.load(std::memory_order_relaxed); }
     void stop();
 
   private:
     class CallPlacer;
-    struct Active;
+    struct ActiveCall;
 
     void on_request(std::shared_ptr<HttpExchange> exchange);
     void admit(const std::shared_ptr<HttpExchange>& exchange,
                const std::shared_ptr<const Table>& table, const Customer& customer);
-    void run_actions(Active& active, CallActions actions);
-    void perform(Active& active, SendAttempt& action);
-    void perform(Active& active, CancelSent& action);
-    void perform(Active& active, SendClaim& action);
-    void perform(Active& active, SendCloseClaim& action);
-    void perform(Active& active, SendDropClaim& action);
-    void perform(Active& active, BeginStream& action);
-    void perform(Active& active, StreamBytes& action);
-    void perform(Active& active, EndStream& action);
-    void perform(Active& active, WholeAnswer& action);
-    void perform(Active& active, FailCall& action);
-    void arm_timer(Active& active);
+    void run_actions(ActiveCall& active, CallActions actions);
+    void perform(ActiveCall& active, SendAttempt& action);
+    void perform(ActiveCall& active, CancelSent& action);
+    void perform(ActiveCall& active, SendClaim& action);
+    void perform(ActiveCall& active, SendCloseClaim& action);
+    void perform(ActiveCall& active, SendDropClaim& action);
+    void perform(ActiveCall& active, BeginStream& action);
+    void perform(ActiveCall& active, StreamBytes& action);
+    void perform(ActiveCall& active, EndStream& action);
+    void perform(ActiveCall& active, WholeAnswer& action);
+    void perform(ActiveCall& active, FailCall& action);
+    void arm_timer(ActiveCall& active);
     void finish(std::uint64_t sequence);
     void note_end(const AttemptId& id, std::uint32_t running, std::uint32_t waiting);
-    Active* find(std::uint64_t sequence);
+    ActiveCall* find(std::uint64_t sequence);
 
     void sweep_draining();
     void sync_dialers();
@@ -95,9 +98,9 @@
     Router router_;
     std::map<std::string, std::unique_ptr<Dialer>> dialers_; // by agent address
     std::map<std::string, GateState> gates_;
-    std::unordered_map<std::uint64_t, std::unique_ptr<Active>> calls_;
+    std::unordered_map<std::uint64_t, std::unique_ptr<ActiveCall>> calls_;
     std::atomic<bool> busy_{true};
-    Ticker draining_;
+    Ticker drain_sweep_;
 };
 
 } // namespace liftweir
