--- a/tests/unit/firstlayout_test.cpp
+++ b/tests/unit/firstlayout_test.cpp
@@ -1,4 +1,4 @@
-// Which model each host begins with.
+// Tests the first assignment of models to hosts.
 
 #include "process/firstlayout.h"
 
@@ -17,7 +17,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST(FirstLayout, DomainsHoldOneModelAndModelsGetTheirShare) {
+TEST(FirstLayout, GivesEachDomainOneModelAndEachModelItsShare) {
     std::vector<ColdHost> hosts;
     for (int d = 0; d < 3; ++d)
         for (int h = 0; h < 8; ++h)
@@ -39,7 +39,7 @@
     EXPECT_EQ(count["small"], 8);
 }
 
-RC_GTEST_PROP(FirstLayout, EveryHostGetsAModel, ()) {
+RC_GTEST_PROP(FirstLayout, GivesEveryHostAModel, ()) {
     std::vector<ColdHost> hosts;
     const int n = *rc::gen::inRange(0, 40);
     for (int i = 0; i < n; ++i)
--- a/tests/unit/groupplanner_test.cpp
+++ b/tests/unit/groupplanner_test.cpp
@@ -1,4 +1,4 @@
-// The planner against endpoints that keep their own state.
+// Tests the group planner against a simulated fleet of endpoints.
 
 #include "unit/plannerfleet.h"
 
@@ -25,7 +25,7 @@
     Fleet fleet_{3, 8};
 };
 
-TEST(GroupPlanner, AHostThatIsOfNoUseIsGivenTheModelOfThoseThatLackOne) {
+TEST(GroupPlanner, AStrandedHostLoadsTheModelOfAnIncompleteGroup) {
     Fleet fleet(1, 8);
     fleet.planner.configure(engine());
     fleet.planner.take_over(1, fleet.now);
@@ -33,11 +33,11 @@
     ASSERT_EQ(fleet.open("big"), 1u);
     ASSERT_EQ(fleet.open("small"), 1u);
     fleet.planner.traffic_began();
-    // Two spares of the large model are left, and one survivor of each model.
-    fleet.lead_of("small").dark = true;
-    const std::vector<EndpointId> members = fleet.lead_of("big").list;
+    // Two spares of the large model and one survivor of each model remain.
+    fleet.lead_of("small").unreachable = true;
+    const std::vector<EndpointId> members = fleet.lead_of("big").group_members;
     for (std::size_t i = 0; i < 3; ++i)
-        fleet.endpoints.at(members[i]).dark = true;
+        fleet.endpoints.at(members[i]).unreachable = true;
     const auto suspect_all = [&] {
         for (const auto& [id, e] : fleet.endpoints)
             if (e.report.grouped())
@@ -51,7 +51,7 @@
     EXPECT_TRUE(fleet.violations.empty());
 }
 
-TEST(GroupPlanner, AGroupAcrossDomainsEndsForOneWithinADomain) {
+TEST(GroupPlanner, AGroupAcrossDomainsIsReplacedByOneWithinADomain) {
     Fleet fleet(2, 3);
     EngineCost large = engine();
     large.models = {{"big", 4, 1.0, 1.0, seconds(16), milliseconds(1600)}};
@@ -67,14 +67,15 @@
     fleet.run(seconds(10));
     ASSERT_EQ(fleet.open("big"), 1u);
     std::set<std::string> domains;
-    for (const EndpointId& id : fleet.lead_of("big").list)
+    for (const EndpointId& id : fleet.lead_of("big").group_members)
         domains.insert(fleet.endpoints.at(id).report.domain);
     EXPECT_EQ(domains.size(), 1u);
     EXPECT_TRUE(fleet.violations.empty());
 }
 
-// The only group of a model loses its lead to planned work and finishes what it has, for seconds.
-TEST(GroupPlanner, AGroupThatClosesForItsLeavingLeadIsNotWaitedFor) {
+// The lead of the only group of a model leaves, and the group takes seconds to finish its requests.
+// A group across domains must replace it meanwhile.
+TEST(GroupPlanner, DoesNotWaitForAGroupThatClosesForItsLeavingLead) {
     Fleet fleet(3, 2);
     for (int i = 0; i < 2; ++i)
         fleet.add("d0");
@@ -87,10 +88,10 @@
     fleet.planner.traffic_began();
     fleet.run(seconds(10));
     ASSERT_EQ(fleet.open("big"), 1u);
-    fleet.close_takes = seconds(8);
+    fleet.close_time = seconds(8);
     Fleet::Endpoint& lead = fleet.lead_of("big");
     lead.report.phase = EndpointPhase::Draining;
-    fleet.tell(lead);
+    fleet.send_report(lead);
     fleet.run(seconds(4));
     EXPECT_EQ(fleet.open("big"), 1u);
     EXPECT_TRUE(fleet.violations.empty());
@@ -101,7 +102,7 @@
     EXPECT_EQ(fleet_.open("big"), 4u);
     EXPECT_EQ(fleet_.open("small"), 4u);
     EXPECT_TRUE(fleet_.violations.empty());
-    // 16 + 8 joins and 8 opens; nothing is ordered again.
+    // 16 + 8 joins and 8 opens; no order is repeated.
     EXPECT_EQ(fleet_.orders, 32);
     const int before = fleet_.orders;
     fleet_.run(seconds(5));
@@ -113,7 +114,7 @@
     fleet_.planner.traffic_began();
     Fleet::Endpoint& lead = fleet_.lead_of("big");
     const Epoch epoch = lead.report.membership.epoch;
-    fleet_.endpoints.at(lead.list[2]).dark = true;
+    fleet_.endpoints.at(lead.group_members[2]).unreachable = true;
     fleet_.planner.suspect(epoch, fleet_.now);
     fleet_.run(seconds(2));
     EXPECT_TRUE(fleet_.violations.empty()) << fleet_.violations.front();
@@ -125,8 +126,8 @@
     start();
     Fleet::Endpoint& lead = fleet_.lead_of("small");
     const Epoch epoch = lead.report.membership.epoch;
-    const EndpointId other = lead.list[1];
-    lead.dark = true;
+    const EndpointId other = lead.group_members[1];
+    lead.unreachable = true;
     fleet_.planner.suspect(epoch, fleet_.now);
     fleet_.run(seconds(4));
     EXPECT_TRUE(fleet_.violations.empty()) << fleet_.violations.front();
@@ -135,8 +136,8 @@
     EXPECT_EQ(dissolved, std::vector<Epoch>{epoch});
 }
 
-// Found by the users' days: an endpoint that deregisters goes on serving for seconds.
-TEST_F(PlannerTest, ALeadThatDeregisteredStillHoldsItsGroup) {
+// An endpoint that deregisters goes on serving for seconds, so its members are not free yet.
+TEST_F(PlannerTest, ALeadThatDeregisteredStillBindsItsMembers) {
     start();
     Fleet::Endpoint& lead = fleet_.lead_of("big");
     fleet_.registry.mark_gone(lead.report.id, fleet_.now);
@@ -145,25 +146,26 @@
     EXPECT_TRUE(fleet_.violations.empty()) << fleet_.violations.front();
 }
 
-// A group of a start that has crashed ends as soon as the next one at its address is known.
-TEST_F(PlannerTest, ANewStartTakesTheHostOfADeadLead) {
+// The group of a crashed endpoint is dissolved as soon as a new incarnation reports from its
+// address.
+TEST_F(PlannerTest, ANewEndpointReplacesACrashedLeadAtItsAddress) {
     start();
     fleet_.planner.traffic_began();
     Fleet::Endpoint& lead = fleet_.lead_of("small");
     const Epoch epoch = lead.report.membership.epoch;
-    const EndpointId dead = lead.report.id;
-    const EndpointId other = lead.list[1];
+    const EndpointId crashed = lead.report.id;
+    const EndpointId other = lead.group_members[1];
     const std::uint64_t fence = lead.fence;
     const EndpointId next = fleet_.restart(lead);
     fleet_.step();
     fleet_.step();
-    EXPECT_EQ(fleet_.registry.find(dead)->report.phase, EndpointPhase::Gone);
+    EXPECT_EQ(fleet_.registry.find(crashed)->report.phase, EndpointPhase::Gone);
     EXPECT_NE(fleet_.endpoints.at(other).report.membership.epoch, epoch);
-    // What a cut held back of the dead lead comes now.
-    Fleet::Endpoint& late = fleet_.endpoints.at(dead);
-    fleet_.tell(late);
+    // A report of the crashed lead that was delayed by a network partition arrives now.
+    Fleet::Endpoint& late = fleet_.endpoints.at(crashed);
+    fleet_.send_report(late);
     fleet_.run(seconds(4));
-    EXPECT_EQ(fleet_.registry.find(dead)->report.phase, EndpointPhase::Gone);
+    EXPECT_EQ(fleet_.registry.find(crashed)->report.phase, EndpointPhase::Gone);
     EXPECT_EQ(fleet_.registry.find(next)->report.phase, EndpointPhase::Serving);
     EXPECT_TRUE(fleet_.endpoints.at(next).report.grouped());
     EXPECT_EQ(late.fence, fence);
@@ -171,7 +173,7 @@
     EXPECT_TRUE(fleet_.violations.empty());
 }
 
-TEST(GroupPlanner, HostsThatStartAgainUnderTheirNamesAreUsedAgain) {
+TEST(GroupPlanner, EndpointsThatRestartUnderTheirNamesJoinGroupsAgain) {
     for (const std::size_t lost : {std::size_t{1}, std::size_t{2}}) {
         Fleet fleet(1, 2);
         EngineCost pairs = engine();
@@ -185,9 +187,9 @@
             e.report.sequence += 1000;
         fleet.run(seconds(3));
         for (int starts = 1; starts <= 3; ++starts) {
-            const std::vector<EndpointId> members = fleet.lead_of("small").list;
+            const std::vector<EndpointId> members = fleet.lead_of("small").group_members;
             for (std::size_t n = 0; n < lost; ++n)
-                fleet.restart_under_its_name(fleet.endpoints.at(members[n]));
+                fleet.restart_under_same_name(fleet.endpoints.at(members[n]));
             fleet.run(seconds(4));
             EXPECT_EQ(fleet.open("small"), 1u) << lost << " lost, start " << starts;
         }
@@ -195,7 +197,7 @@
     }
 }
 
-TEST_F(PlannerTest, ALateReportOfADeadStartChangesNoGroup) {
+TEST_F(PlannerTest, ADelayedReportOfACrashedEndpointChangesNoGroup) {
     start();
     const std::size_t big = fleet_.open("big");
     const std::size_t small = fleet_.open("small");
@@ -215,16 +217,16 @@
     EXPECT_TRUE(fleet_.violations.empty());
 }
 
-// Silence towards control proves nothing: the group may serve on.
-TEST_F(PlannerTest, ASilentMemberAloneDissolvesNothing) {
+// Missing reports alone prove nothing, since the group may still serve.
+TEST_F(PlannerTest, MissingReportsOfAMemberAloneDissolveNoGroup) {
     start();
     Fleet::Endpoint& lead = fleet_.lead_of("big");
-    fleet_.endpoints.at(lead.list[1]).dark = true;
+    fleet_.endpoints.at(lead.group_members[1]).unreachable = true;
     fleet_.run(seconds(10));
     EXPECT_EQ(lead.report.membership.state, MemberState::Open);
 }
 
-TEST_F(PlannerTest, AnAlarmThatNobodyRepeatsDissolvesNothing) {
+TEST_F(PlannerTest, ASuspicionThatIsNotRenewedDissolvesNoGroup) {
     start();
     Fleet::Endpoint& lead = fleet_.lead_of("big");
     const Epoch epoch = lead.report.membership.epoch;
@@ -234,7 +236,7 @@
     EXPECT_EQ(lead.report.membership.state, MemberState::Open);
 }
 
-TEST_F(PlannerTest, AGroupThatKeepsStandingStillIsPutTogetherAnew) {
+TEST_F(PlannerTest, AGroupThatStaysStalledIsFormedAgain) {
     start();
     Fleet::Endpoint& lead = fleet_.lead_of("big");
     const Epoch epoch = lead.report.membership.epoch;
@@ -246,8 +248,8 @@
     EXPECT_TRUE(fleet_.violations.empty());
 }
 
-// A new leader knows nothing but what the endpoints say, and goes on from there.
-TEST_F(PlannerTest, ANewLeaderTakesTheGroupsThatStand) {
+// A new leader knows only the log and the reports of the endpoints.
+TEST_F(PlannerTest, ANewLeaderKeepsTheGroupsThatServe) {
     start();
     const std::size_t big = fleet_.open("big");
     const int before = fleet_.orders;
@@ -263,7 +265,7 @@
     EXPECT_TRUE(fleet_.violations.empty());
 }
 
-TEST(GroupPlanner, AControlHostThatCameBackBoundsLoadsFromTheStart) {
+TEST(GroupPlanner, ARestartedControlHostLimitsLoadsFromTheStart) {
     Fleet fleet(3, 27);
     fleet.planner = GroupPlanner("llm", GroupPlannerConfig{}, false);
     fleet.planner.configure(engine());
@@ -274,13 +276,13 @@
         for (; static_cast<int>(loads.size()) < fleet.loads;)
             loads.push_back(fleet.now);
     }
-    const std::size_t most = 5 * 3; // loads a second, over the window of the bound
+    const std::size_t most = 5 * 3; // loads per window: seconds of the window x loads per second
     for (std::size_t n = most; n < loads.size(); ++n)
         EXPECT_GT(loads[n] - loads[n - most], seconds(5)) << "load " << n;
     EXPECT_GT(loads.size(), 0u);
 }
 
-TEST(GroupPlanner, WhatOthersMayHaveBegunCountsThoughTheFiguresComeLater) {
+TEST(GroupPlanner, CountsLoadsOfEarlierLeadersIfConfiguredAfterTheTakeover) {
     Fleet fleet(3, 27);
     fleet.planner = GroupPlanner("llm", GroupPlannerConfig{}, false);
     fleet.planner.take_over(4, fleet.now, {}, true);
@@ -291,8 +293,8 @@
     EXPECT_GT(fleet.loads, 0);
 }
 
-// In the first life of the whole system nobody can have begun loads that count.
-TEST(GroupPlanner, TheFirstLayoutWaitsForNoBound) {
+// In the first run of the whole deployment there are no requests yet, so loads do not count.
+TEST(GroupPlanner, FirstLayoutIsNotLimited) {
     Fleet fleet(3, 27);
     fleet.planner.configure(engine());
     fleet.planner.take_over(1, fleet.now, {}, true);
@@ -300,7 +302,7 @@
     EXPECT_EQ(fleet.loads, 3 * 27);
 }
 
-TEST(LoadBudget, HoldsOverTwoChangesOfTheLeaderWithinOneWindow) {
+TEST(LoadBudget, HoldsAcrossTwoLeaderChangesWithinOneWindow) {
     Time now{seconds(100)};
     std::size_t begun = 0;
     for (int leader = 0; leader < 3; ++leader) {
@@ -315,25 +317,25 @@
     EXPECT_LE(begun, 3u * 5u);
 }
 
-TEST_F(PlannerTest, AnUnansweredJoinEndsTheAttempt) {
+TEST_F(PlannerTest, AnUnansweredJoinDissolvesTheGroup) {
     fleet_.silent.insert("i00");
     start();
     EXPECT_TRUE(fleet_.violations.empty());
     EXPECT_GE(fleet_.open("big") + fleet_.open("small"), 6u);
 }
 
-TEST_F(PlannerTest, ALeavingMembersGroupClosesOnceASpareIsAtHand) {
+TEST_F(PlannerTest, TheGroupOfALeavingMemberClosesIfASpareCanReplaceIt) {
     start();
     Fleet::Endpoint& lead = fleet_.lead_of("big");
-    Fleet::Endpoint& member = fleet_.endpoints.at(lead.list[3]);
+    Fleet::Endpoint& member = fleet_.endpoints.at(lead.group_members[3]);
     member.report.phase = EndpointPhase::Draining;
-    fleet_.tell(member);
+    fleet_.send_report(member);
     fleet_.run(seconds(4));
     EXPECT_TRUE(fleet_.violations.empty());
     EXPECT_GE(fleet_.open("big"), 2u);
 }
 
-// Losses, drains, silent answers and new hosts in any order break no rule.
+// Losses, drains, missing answers, new hosts and leader changes in any order violate no invariant.
 RC_GTEST_PROP(PlannerProperty, NoHostIsEverInTwoGroups, ()) {
     Fleet fleet(2, 6);
     fleet.planner.configure(engine());
@@ -347,14 +349,14 @@
         std::advance(victim, *rc::gen::inRange<int>(0, static_cast<int>(fleet.endpoints.size())));
         switch (*rc::gen::inRange(0, 7)) {
         case 0:
-            victim->second.dark = true;
+            victim->second.unreachable = true;
             break;
         case 1:
-            victim->second.dark = false;
+            victim->second.unreachable = false;
             break;
         case 2:
             victim->second.report.phase = EndpointPhase::Draining;
-            fleet.tell(victim->second);
+            fleet.send_report(victim->second);
             break;
         case 3:
             fleet.registry.mark_gone(victim->first, fleet.now);
@@ -379,7 +381,5 @@
     RC_ASSERT(fleet.violations.empty());
 }
 
-// ---- the first layout
-
 } // namespace
 } // namespace liftweir
--- a/tests/unit/groupsimulator.cpp
+++ b/tests/unit/groupsimulator.cpp
@@ -12,11 +12,11 @@
 
 constexpr Time Start = Time{} + std::chrono::seconds(100);
 constexpr Duration Step = std::chrono::milliseconds(1);
-// As the entry hosts do it.
-constexpr Duration TickEvery = std::chrono::milliseconds(40);
-constexpr Duration AvoidStalled = std::chrono::milliseconds(1000);
+// The intervals of the entry hosts.
+constexpr Duration TickInterval = std::chrono::milliseconds(40);
+constexpr Duration AvoidStalledFor = std::chrono::milliseconds(1000);
 constexpr Duration RetryAfter = std::chrono::milliseconds(1000);
-constexpr Duration CallerPatience = std::chrono::milliseconds(2250);
+constexpr Duration CallerTimeout = std::chrono::milliseconds(2250);
 const std::string Model = "model";
 
 Duration millis(double ms) {
@@ -61,38 +61,38 @@
     groups_.push_back({.lead = lead.id, .pass_ends = now, .lost = false, .requests = {}});
 }
 
-// Another group serves for the lost one, which is known to have ended.
+// Opens a group in place of the lost one, whose end all entry hosts learn.
 void GroupSimulator::replace_group(Time now) {
     const auto lost =
         std::find_if(groups_.begin(), groups_.end(), [](const Group& g) { return g.lost; });
     for (std::size_t host = 0; host < hosts_.size(); ++host) {
         hosts_[host].registry().mark_gone(lost->lead, now);
-        leave_group(*lost, host, now);
+        move_requests(*lost, host, now);
     }
     groups_.erase(lost);
     open_group(now);
 }
 
-// Its streams stand still; nobody is told.
+// Stalls the streams of a group without notifying any host.
 void GroupSimulator::lose_group() {
     const auto group =
         std::find_if(groups_.begin(), groups_.end(), [](const Group& g) { return !g.lost; });
     group->lost = true;
 }
 
-// Each entry host sees for itself that a group stands still, and takes its requests elsewhere.
-void GroupSimulator::leave_stalled(Time now) {
+// Each entry host detects stalled groups by itself and moves its requests to other groups.
+void GroupSimulator::leave_stalled_groups(Time now) {
     for (std::size_t host = 0; host < hosts_.size(); ++host)
         for (Group& group : groups_) {
             EndpointUse& use = hosts_[host].use(group.lead);
             if (use.watch.stalled(now) == Duration::zero())
                 continue;
-            use.avoid_until = now + AvoidStalled;
-            leave_group(group, host, now);
+            use.avoid_until = now + AvoidStalledFor;
+            move_requests(group, host, now);
         }
 }
 
-void GroupSimulator::leave_group(Group& group, std::size_t host, Time now) {
+void GroupSimulator::move_requests(Group& group, std::size_t host, Time now) {
     for (auto request = group.requests.begin(); request != group.requests.end();) {
         if (request->host != host) {
             ++request;
@@ -101,22 +101,22 @@
         finish(group, *request);
         Request moved = *request;
         request = group.requests.erase(request);
-        moved.unread = moved.demand.prompt_tokens;
-        moved.writing = false;
-        if (moved.begun)
+        moved.prefill_left = moved.demand.prompt_tokens;
+        moved.decoding = false;
+        if (moved.started)
             waiting_.push_back(moved);
         else if (!send(moved, now))
             refuse(moved, now);
     }
 }
 
-// What hosts tell now reaches the others with the next telling.
-void GroupSimulator::tell_shares(Time now) {
+// The load that hosts report now reaches the others at the next exchange.
+void GroupSimulator::report_load(Time now) {
     for (std::size_t host = 0; host < hosts_.size(); ++host)
-        hosts_[host].set_load_of_others(board_.load_of_others(std::to_string(host)), board_.every(),
-                                        now);
+        hosts_[host].set_load_of_others(load_table_.load_of_others(std::to_string(host)),
+                                        load_table_.every(), now);
     for (std::size_t host = 0; host < hosts_.size(); ++host)
-        board_.tell(std::to_string(host), hosts_[host].own_load(), now);
+        load_table_.tell(std::to_string(host), hosts_[host].own_load(), now);
 }
 
 void GroupSimulator::ask(std::size_t number, Time now) {
@@ -126,7 +126,7 @@
     request.kind = number;
     request.host = random_() % hosts_.size();
     request.demand = {kind.prompt_tokens, false};
-    request.unread = kind.prompt_tokens;
+    request.prefill_left = kind.prompt_tokens;
     request.events_left = kind.events;
     request.asked = now;
     request.last = now;
@@ -135,28 +135,28 @@
 }
 
 void GroupSimulator::refuse(Request request, Time now) {
-    if (std::exchange(request.returned, true)) {
+    if (std::exchange(request.retried, true)) {
         ++results_[request.kind].refused;
         return;
     }
-    request.returns = now + RetryAfter;
-    returning_.push_back(request);
+    request.retry_at = now + RetryAfter;
+    refused_.push_back(request);
 }
 
-void GroupSimulator::take_returning(Time now) {
-    while (!returning_.empty() && returning_.front().returns <= now) {
-        Request request = returning_.front();
-        returning_.pop_front();
+void GroupSimulator::retry_refused(Time now) {
+    while (!refused_.empty() && refused_.front().retry_at <= now) {
+        Request request = refused_.front();
+        refused_.pop_front();
         request.host = random_() % hosts_.size();
         if (!send(request, now))
             refuse(request, now);
     }
 }
 
-// Fails where no group takes the request now.
+// Sends the request to a group. False if no group accepts it now.
 bool GroupSimulator::send(Request request, Time now) {
     request.demand.low_priority = is_bound_to_be_late(
-        {request.begun, now - request.asked, now - request.last, goal_, pause_goal_});
+        {request.started, now - request.asked, now - request.last, goal_, pause_goal_});
     Demand demand;
     demand.service = &service_;
     demand.model = Model;
@@ -179,48 +179,49 @@
 
 void GroupSimulator::resume_waiting(Time now) {
     for (auto request = waiting_.begin(); request != waiting_.end();) {
-        const bool gone = now - request->last > CallerPatience;
-        if (!gone && !send(*request, now)) {
+        const bool disconnected = now - request->last > CallerTimeout;
+        if (!disconnected && !send(*request, now)) {
             ++request;
             continue;
         }
-        results_[request->kind].late += gone ? 1 : 0;
+        results_[request->kind].late += disconnected ? 1 : 0;
         request = waiting_.erase(request);
     }
 }
 
-// Reads what waits, as far as one pass goes, and returns how long the pass takes.
+// Prefills waiting prompts up to the limit of one pass, and returns the duration of the pass in ms.
 double GroupSimulator::start_pass(Group& group) {
     const ModelShape& shape = engine_.models.front();
-    double writers = 0;
-    std::uint32_t room = engine_.chunk * engine_.steps_per_pass;
-    std::uint32_t read = 0;
-    std::uint32_t places = engine_.slots;
+    double decoders = 0;
+    std::uint32_t prefill_budget = engine_.chunk * engine_.steps_per_pass;
+    std::uint32_t prefilled = 0;
+    std::uint32_t free_slots = engine_.slots;
     for (Request& request : group.requests) {
-        if (places-- == 0)
+        if (free_slots-- == 0)
             break;
-        writers += request.unread == 0 ? 1 : 0;
-        const std::uint32_t part = std::min(request.unread, room);
-        request.unread -= part;
-        room -= part;
-        read += part;
+        decoders += request.prefill_left == 0 ? 1 : 0;
+        const std::uint32_t part = std::min(request.prefill_left, prefill_budget);
+        request.prefill_left -= part;
+        prefill_budget -= part;
+        prefilled += part;
     }
     return shape.pace *
-           (engine_.steps_per_pass * (engine_.step_ms + engine_.step_ms_per_sequence * writers) +
-            read / engine_.read_tokens_per_ms);
+           (engine_.steps_per_pass * (engine_.step_ms + engine_.step_ms_per_sequence * decoders) +
+            prefilled / engine_.read_tokens_per_ms);
 }
 
 void GroupSimulator::end_pass(Group& group, Time now) {
-    std::uint32_t places = engine_.slots;
-    for (auto request = group.requests.begin(); request != group.requests.end() && places-- > 0;) {
-        if (request->unread > 0) {
+    std::uint32_t free_slots = engine_.slots;
+    for (auto request = group.requests.begin();
+         request != group.requests.end() && free_slots-- > 0;) {
+        if (request->prefill_left > 0) {
             ++request;
             continue;
         }
-        request->late = request->late || (request->begun ? now - request->last > pause_goal_
-                                                         : now - request->asked > goal_);
-        hosts_[request->host].use(group.lead).on_event(request->demand, !request->writing, now);
-        request->begun = request->writing = true;
+        request->late = request->late || (request->started ? now - request->last > pause_goal_
+                                                           : now - request->asked > goal_);
+        hosts_[request->host].use(group.lead).on_event(request->demand, !request->decoding, now);
+        request->started = request->decoding = true;
         request->last = now;
         if (--request->events_left > 0) {
             ++request;
@@ -236,7 +237,7 @@
 void GroupSimulator::finish(const Group& group, const Request& request) {
     EndpointUse& use = hosts_[request.host].use(group.lead);
     --use.in_flight;
-    use.ended(request.demand, request.writing);
+    use.ended(request.demand, request.decoding);
 }
 
 void GroupSimulator::step(Group& group, Time now) {
@@ -262,13 +263,13 @@
             lose_group();
         if (std::find(losses.begin(), losses.end(), at - repair) != losses.end())
             replace_group(now);
-        if (at % TickEvery == Duration::zero()) {
-            leave_stalled(now);
+        if (at % TickInterval == Duration::zero()) {
+            leave_stalled_groups(now);
             resume_waiting(now);
         }
-        if (tells_of_others_ && at % LoadReportInterval == Duration::zero())
-            tell_shares(now);
-        take_returning(now);
+        if (exchanges_shares_ && at % LoadReportInterval == Duration::zero())
+            report_load(now);
+        retry_refused(now);
         for (std::size_t i = 0; i < kinds_.size(); ++i)
             if (std::uniform_real_distribution<double>(0, 1)(random_) <
                 kinds_[i].per_second * step_s)
--- a/tests/unit/groupsimulator.h
+++ b/tests/unit/groupsimulator.h
@@ -1,3 +1,5 @@
+// A simulation of callers, entry hosts and groups, for tests of overload and of lost groups.
+
 #ifndef GROUPSIMULATOR_H_INCLUDED
 #define GROUPSIMULATOR_H_INCLUDED
 
@@ -11,21 +13,21 @@
 
 namespace liftweir {
 
-// The figures of a large engine: a pass takes 40 ms with 15 writers and up to 230 ms while it
-// reads.
+// The cost model of a large engine: a pass takes 40 ms while 15 requests decode, and up to 230 ms
+// while it prefills prompts.
 EngineCost simulated_engine();
 
-// A kind of request of the played load.
+// A kind of request of the simulated load.
 struct SimulatedRequestKind {
     double per_second = 0;
     std::uint32_t prompt_tokens = 0;
     std::uint32_t events = 1;
 };
 
-// What the callers of one kind got.
+// Counts of the requests of one kind by outcome.
 struct SimulatedResult {
     int asked = 0;
-    int in_time = 0; // first event within its goal, and no pause beyond its goal
+    int in_time = 0; // first event and every pause between events within their goals
     int late = 0;
     int refused = 0;
 
@@ -33,18 +35,19 @@
     double refused_part() const { return static_cast<double>(refused) / std::max(1, asked); }
 };
 
-// Plays callers against groups in virtual time. The engines follow their cost figures; the entry
-// hosts are real directories, which choose a group, refuse, or notice that one stands still, each
-// knowing only its own part. A caller that is refused returns once. What a lost group had goes on
-// elsewhere, as soon as a group takes it, if its caller has not left by then.
+// Simulates callers and groups in virtual time. The engines follow their cost model. The entry
+// hosts use the real Directory, which chooses a group, rejects a request, or detects a stalled
+// group, each from its own requests only. A rejected caller retries once. Requests of a lost group
+// continue at another group as soon as one accepts them, unless their caller has given up by then.
 class GroupSimulator {
   public:
     GroupSimulator(EngineCost engine, int groups, int hosts, std::uint64_t seed);
 
-    // Entry hosts are told what the others have under way, as control does it.
-    void exchange_shares() { tells_of_others_ = true; }
+    // Sends each entry host the load of the others, as the control host does.
+    void exchange_shares() { exchanges_shares_ = true; }
 
-    // Plays so long; a group is lost at each of the times, and another one serves `repair` later.
+    // Simulates `length`. At each time in `losses` a group is lost; another one serves `repair`
+    // later.
     std::vector<SimulatedResult> play(const std::vector<SimulatedRequestKind>& kinds, Duration goal,
                                       Duration pause_goal, Duration length,
                                       const std::vector<Duration>& losses, Duration repair);
@@ -54,14 +57,14 @@
         std::size_t kind = 0;
         std::size_t host = 0;
         EngineDemand demand;
-        std::uint32_t unread = 0;
+        std::uint32_t prefill_left = 0;
         std::uint32_t events_left = 0;
         Time asked{};
-        Time last{};    // event, or the first try
-        Time returns{}; // after a refusal
-        bool returned = false;
-        bool begun = false;   // its caller has the first event
-        bool writing = false; // at its present group
+        Time last{};     // time of the last event, or of the first attempt
+        Time retry_at{}; // time of the retry after a rejection
+        bool retried = false;
+        bool started = false;  // its caller has received the first event
+        bool decoding = false; // at its present group
         bool late = false;
     };
 
@@ -69,7 +72,7 @@
         EndpointId lead;
         Time pass_ends{};
         bool lost = false;
-        std::list<Request> requests; // in the order in which they came
+        std::list<Request> requests; // in the order of their arrival
     };
 
     void open_group(Time now);
@@ -78,11 +81,11 @@
     void ask(std::size_t kind, Time now);
     bool send(Request request, Time now);
     void refuse(Request request, Time now);
-    void leave_stalled(Time now);
-    void leave_group(Group& group, std::size_t host, Time now);
+    void leave_stalled_groups(Time now);
+    void move_requests(Group& group, std::size_t host, Time now);
     void resume_waiting(Time now);
-    void take_returning(Time now);
-    void tell_shares(Time now);
+    void retry_refused(Time now);
+    void report_load(Time now);
     void step(Group& group, Time now);
     double start_pass(Group& group);
     void end_pass(Group& group, Time now);
@@ -92,11 +95,11 @@
     Service service_;
     std::vector<Directory> hosts_;
     std::list<Group> groups_;
-    std::list<Request> waiting_;   // begun streams of groups that were lost
-    std::list<Request> returning_; // refused once
+    std::list<Request> waiting_; // started streams of lost groups
+    std::list<Request> refused_; // rejected once, to be retried
     std::minstd_rand random_;
-    bool tells_of_others_ = false;
-    EntryLoadTable board_;
+    bool exchanges_shares_ = false;
+    EntryLoadTable load_table_;
     Duration goal_{};
     Duration pause_goal_{};
     std::vector<SimulatedRequestKind> kinds_;
--- a/tests/unit/leaderchange_test.cpp
+++ b/tests/unit/leaderchange_test.cpp
@@ -1,6 +1,6 @@
-// Three control hosts with their copies of the log, cut off, frozen, killed and started again in
-// turn; endpoints that start again under their names; words and orders that come late. Harder cases
-// of takeover_test, with the product's own log, order queue and step from one leader to the next.
+// Simulates three control hosts with their copies of the replicated log, which are partitioned,
+// frozen, killed and restarted, endpoints that restart under their names, and delayed reports and
+// orders. Harder cases than takeover_test, with the real replicated log, order queue and takeover.
 
 #include "process/groupcontroller.h"
 #include "process/groupname.h"
@@ -23,12 +23,12 @@
 using std::chrono::seconds;
 
 constexpr Duration Step = milliseconds(50);
-constexpr Duration Beat = milliseconds(1200);
-constexpr Duration OrderPatience = milliseconds(1000);
-constexpr Duration StandsStill = seconds(5); // until a lead without a member gives its group up
+constexpr Duration HeartbeatInterval = milliseconds(1200);
+constexpr Duration OrderTimeout = milliseconds(1000);
+constexpr Duration LeadTimeout = seconds(5); // a lead that misses a member reports Broken after it
 constexpr NodeId ControlHosts = 3;
 constexpr std::size_t Pairs = 4;
-constexpr std::size_t BigDocument = 400u << 10; // four of them make a snapshot due
+constexpr std::size_t BigDocumentBytes = 400u << 10; // four of them make a snapshot due
 const std::string Service = "llm";
 
 EngineCost pairs_of_one_model() {
@@ -41,40 +41,40 @@
     return e;
 }
 
-// What a case is made of.
-struct Play {
+// The parameters of one simulation.
+struct Scenario {
     std::uint32_t seed = 1;
-    Duration most_late = milliseconds(2); // words of endpoints, orders and their answers
-    bool slow_to_notice = false;          // the first leader goes on for seconds once it is cut off
-    bool slow_to_send = false;            // one order each step, so that the others wait
+    Duration max_delay = milliseconds(2); // of reports, orders and their answers
+    bool slow_to_notice = false;          // a partitioned first leader acts as leader for seconds
+    bool slow_to_send = false;            // one order per step, so that the others queue up
 };
 
-// An endpoint as the users' workers behave: it refuses fences and epochs below the highest that it
-// has seen, and forgets both when it starts again.
+// A simulated endpoint. It refuses fences and epochs below the highest that it has seen, and
+// forgets both when it restarts.
 struct Endpoint {
     EndpointReport report;
     std::vector<std::string> members; // of its group, the lead first
     std::uint64_t fence = 0;
-    Epoch seen = NoEpoch;
+    Epoch highest_epoch = NoEpoch;
     Time ready_at{};
     Time open_at{};
-    Time alone_since{};
-    Time beat_due{};
+    Time incomplete_since{};
+    Time heartbeat_due{};
 };
 
 struct ControlHost {
     MemStorage disk;
-    std::unique_ptr<Replica> replica; // null while it is down
+    std::unique_ptr<Replica> replica; // null while the host is down
     std::unique_ptr<GroupController> groups;
     Registry registry;
-    int life = 0;
-    bool cut = false;
+    int incarnation = 0;
+    bool partitioned = false;
     Time frozen_until{};
 };
 
-class World {
+class Simulation {
   public:
-    explicit World(const Play& play) : play_(play), random_(play.seed) {
+    explicit Simulation(const Scenario& scenario) : scenario_(scenario), random_(scenario.seed) {
         for (std::size_t n = 0; n < 2 * Pairs; ++n) {
             Endpoint e;
             e.report.id = {"i" + std::to_string(n), 1000};
@@ -93,51 +93,53 @@
             ;
     }
 
-    // ---- what goes wrong
+    // ---- faults
 
     NodeId leader() const {
         for (NodeId node = 1; node <= ControlHosts; ++node)
-            if (up(node) && !at(node).cut && at(node).groups->leads())
+            if (up(node) && !at(node).partitioned && at(node).groups->leads())
                 return node;
         return NoNode;
     }
-    // Off from the other control hosts; endpoints are reached and heard.
-    void cut_leader() {
-        if (const NodeId node = leader(); node != NoNode && lost() == 0)
-            at(node).cut = true;
+    // Partitions the leader from the other control hosts. The leader and the endpoints still reach
+    // each other.
+    void partition_leader() {
+        if (const NodeId node = leader(); node != NoNode && failed_hosts() == 0)
+            at(node).partitioned = true;
     }
     void freeze_leader() {
-        if (const NodeId node = leader(); node != NoNode && lost() == 0)
+        if (const NodeId node = leader(); node != NoNode && failed_hosts() == 0)
             at(node).frozen_until =
                 now_ + milliseconds(std::uniform_int_distribution<int>(300, 2500)(random_));
     }
     void kill(NodeId node) {
-        if (node == NoNode || !up(node) || lost() > 0)
+        if (node == NoNode || !up(node) || failed_hosts() > 0)
             return;
         at(node).replica.reset();
         at(node).disk.crash();
-        ++at(node).life;
+        ++at(node).incarnation;
     }
     void kill_leader() { kill(leader()); }
     void kill_follower() {
         const NodeId node = 1 + random_() % ControlHosts;
         kill(node == leader() ? 1 + node % ControlHosts : node);
     }
-    // The log grows beyond what is kept: whoever is behind is sent a snapshot.
+    // Makes the log outgrow what is kept, so that a follower that lags behind receives a snapshot.
     void write_big_document() {
         if (const NodeId node = leader(); node != NoNode)
-            at(node).replica->propose(ReplaceDocument{++version_, std::string(BigDocument, 'x')},
-                                      [](const Expected<ApplyResult>&) {});
+            at(node).replica->propose(
+                ReplaceDocument{++version_, std::string(BigDocumentBytes, 'x')},
+                [](const Expected<ApplyResult>&) {});
     }
-    void end_some_group() {
+    void end_one_group() {
         for (auto& [name, e] : endpoints_)
             if (e.report.leads_open_group()) {
                 e.report.membership = {};
-                tell(e);
+                send_report(e);
                 return;
             }
     }
-    void restart_some_endpoint() {
+    void restart_one_endpoint() {
         Endpoint& e =
             std::next(endpoints_.begin(), static_cast<long>(random_() % endpoints_.size()))->second;
         Endpoint next;
@@ -146,18 +148,18 @@
         next.report.membership = {};
         next.report.sequence = 0;
         e = next;
-        tell(e);
+        send_report(e);
     }
     void heal() {
         for (NodeId node = 1; node <= ControlHosts; ++node) {
-            at(node).cut = false;
+            at(node).partitioned = false;
             if (!up(node))
                 start(node);
         }
     }
-    void words_are_on_time() { play_.most_late = milliseconds(1); }
+    void end_delays() { scenario_.max_delay = milliseconds(1); }
 
-    // ---- what came of it
+    // ---- results
 
     std::size_t open() const {
         return static_cast<std::size_t>(
@@ -166,9 +168,9 @@
     }
     const std::vector<std::string>& violations() const { return violations_; }
     int takeovers() const { return takeovers_; }
-    // Orders that waited in the queue of a host that led no more.
+    // Orders that were still queued when their host stopped leading.
     std::size_t held_over() const { return held_over_; }
-    // Joins that were carried out though no log names their group any more.
+    // Joins that were carried out although no log holds their group any more.
     int unlogged_joins() const { return unlogged_joins_; }
     bool was_sent_snapshot(NodeId node) const {
         return up(node) && at(node).replica->raft().snapshot().index > 0;
@@ -179,10 +181,10 @@
     const ControlHost& at(NodeId node) const { return hosts_[node - 1]; }
     bool up(NodeId node) const { return at(node).replica != nullptr; }
     bool frozen(NodeId node) const { return now_ < at(node).frozen_until; }
-    int lost() const {
+    int failed_hosts() const {
         int count = 0;
         for (NodeId node = 1; node <= ControlHosts; ++node)
-            count += !up(node) || at(node).cut || frozen(node) ? 1 : 0;
+            count += !up(node) || at(node).partitioned || frozen(node) ? 1 : 0;
         return count;
     }
 
@@ -192,13 +194,14 @@
         if (node == 1) {
             tuning.first_election_min = milliseconds(100);
             tuning.first_election_max = milliseconds(150);
-            if (play_.slow_to_notice)
+            if (scenario_.slow_to_notice)
                 tuning.election_min = tuning.election_max = milliseconds(2500);
         }
         auto opened = Replica::open(host.disk, node, {1, 2, 3}, tuning, random_(), now_);
         ASSERT_TRUE(opened);
         host.replica = std::move(*opened);
-        host.groups = std::make_unique<GroupController>(GroupPlannerConfig{}, host.life == 0);
+        host.groups =
+            std::make_unique<GroupController>(GroupPlannerConfig{}, host.incarnation == 0);
         host.registry = Registry();
         host.groups->configure(Service, pairs_of_one_model(), host.replica->state(), host.registry,
                                now_);
@@ -233,13 +236,13 @@
         const auto messages = host.replica->pump();
         ASSERT_TRUE(messages);
         for (const RaftEnvelope& envelope : *messages)
-            when_read(envelope.to, now_ + milliseconds(random_() % 3 == 0 ? 60 : 1),
-                      [this, node, envelope] {
-                          if (at(node).cut || at(envelope.to).cut)
-                              return;
-                          at(envelope.to).replica->step(node, envelope.message, now_);
-                          pump(envelope.to);
-                      });
+            deliver(envelope.to, now_ + milliseconds(random_() % 3 == 0 ? 60 : 1),
+                    [this, node, envelope] {
+                        if (at(node).partitioned || at(envelope.to).partitioned)
+                            return;
+                        at(envelope.to).replica->step(node, envelope.message, now_);
+                        pump(envelope.to);
+                    });
         const bool leads = host.replica->raft().leads_with_commit();
         if (leads && !host.groups->leads()) {
             host.groups->take_over({host.replica->raft().term(), now_, true},
@@ -254,36 +257,39 @@
 
     void send_orders(NodeId node) {
         while (const auto item = at(node).groups->next_order()) {
-            give(node, *item);
-            if (play_.slow_to_send)
+            send_order(node, *item);
+            if (scenario_.slow_to_send)
                 return;
         }
     }
 
-    void give(NodeId node, const OrderQueue::Item& item) {
-        const Duration way = late();
+    void send_order(NodeId node, const OrderQueue::Item& item) {
+        const Duration delay = random_delay();
         const auto answer = std::make_shared<OrderAnswer>(OrderAnswer::Silent);
-        at_time(now_ + way, [this, item, answer] { *answer = take(item.order); });
-        when_read(node, now_ + std::min(way, OrderPatience) + Step,
-                  [this, node, item, answer] { at(node).groups->answered(item, *answer, now_); });
+        schedule(now_ + delay, [this, item, answer] { *answer = handle_order(item.order); });
+        deliver(node, now_ + std::min(delay, OrderTimeout) + Step,
+                [this, node, item, answer] { at(node).groups->answered(item, *answer, now_); });
     }
 
-    Duration late() {
-        const auto most = std::chrono::duration_cast<milliseconds>(play_.most_late).count();
+    Duration random_delay() {
+        const auto most = std::chrono::duration_cast<milliseconds>(scenario_.max_delay).count();
         if (most <= 1 || std::uniform_int_distribution<int>(0, 1)(random_) == 0)
             return milliseconds(1);
         return milliseconds(std::uniform_int_distribution<int>(1, static_cast<int>(most))(random_));
     }
 
-    void at_time(Time when, std::function<void()> what) { pending_.emplace(when, std::move(what)); }
+    void schedule(Time when, std::function<void()> what) {
+        pending_.emplace(when, std::move(what));
+    }
 
-    // A host that is frozen reads it later; what came for an earlier life is lost.
-    void when_read(NodeId node, Time when, std::function<void()> what) {
-        at_time(when, [this, node, life = at(node).life, what = std::move(what)] {
-            if (!up(node) || at(node).life != life)
+    // A frozen host handles the message once it resumes. Messages for an earlier incarnation are
+    // lost.
+    void deliver(NodeId node, Time when, std::function<void()> what) {
+        schedule(when, [this, node, incarnation = at(node).incarnation, what = std::move(what)] {
+            if (!up(node) || at(node).incarnation != incarnation)
                 return;
             if (frozen(node))
-                when_read(node, at(node).frozen_until, what);
+                deliver(node, at(node).frozen_until, what);
             else
                 what();
         });
@@ -291,11 +297,11 @@
 
     // ---- endpoints
 
-    void tell(Endpoint& e) {
+    void send_report(Endpoint& e) {
         ++e.report.sequence;
-        e.beat_due = now_ + Beat;
+        e.heartbeat_due = now_ + HeartbeatInterval;
         for (NodeId node = 1; node <= ControlHosts; ++node)
-            when_read(node, now_ + late(), [this, node, report = e.report] {
+            deliver(node, now_ + random_delay(), [this, node, report = e.report] {
                 ControlHost& host = at(node);
                 if (host.registry.merge(report, now_))
                     host.groups->observe(host.registry.find(report.id)->report, now_);
@@ -308,40 +314,40 @@
         if (m.epoch != NoEpoch && m.state == MemberState::Joining && now_ >= e.ready_at) {
             m.state = MemberState::Ready;
             e.report.staged = {"m"};
-            tell(e);
+            send_report(e);
         } else if (m.state == MemberState::Ready && e.open_at != Time{} && now_ >= e.open_at) {
             m.state = MemberState::Open;
             e.open_at = {};
-            tell(e);
-        } else if (e.report.leads_open_group() && gives_up(e)) {
+            send_report(e);
+        } else if (e.report.leads_open_group() && lead_times_out(e)) {
             m.state = MemberState::Broken;
-            tell(e);
-        } else if (now_ >= e.beat_due) {
-            tell(e);
+            send_report(e);
+        } else if (now_ >= e.heartbeat_due) {
+            send_report(e);
         }
     }
 
-    bool gives_up(Endpoint& lead) {
+    bool lead_times_out(Endpoint& lead) {
         const bool whole =
             std::all_of(lead.members.begin(), lead.members.end(), [&](const std::string& name) {
                 return endpoints_.at(name).report.membership.epoch == lead.report.membership.epoch;
             });
         if (whole)
-            lead.alone_since = {};
-        else if (lead.alone_since == Time{})
-            lead.alone_since = now_;
-        return !whole && now_ - lead.alone_since >= StandsStill;
+            lead.incomplete_since = {};
+        else if (lead.incomplete_since == Time{})
+            lead.incomplete_since = now_;
+        return !whole && now_ - lead.incomplete_since >= LeadTimeout;
     }
 
-    // Whoever starts again under its name has its address too, and takes what was meant for the
-    // start before.
-    OrderAnswer take(const EndpointOrder& order) {
+    // An endpoint that restarts under its name has the same address, so it receives the orders that
+    // were meant for the previous incarnation.
+    OrderAnswer handle_order(const EndpointOrder& order) {
         Endpoint& e = endpoints_.at(order.endpoint.name);
-        const OrderAnswer answer = obey(e, order);
+        const OrderAnswer answer = execute(e, order);
         return e.report.id == order.endpoint ? answer : OrderAnswer::Elsewhere;
     }
 
-    OrderAnswer obey(Endpoint& e, const EndpointOrder& order) {
+    OrderAnswer execute(Endpoint& e, const EndpointOrder& order) {
         Membership& m = e.report.membership;
         if (order.fence < e.fence)
             return OrderAnswer::Stale;
@@ -369,12 +375,12 @@
             e.report.staged = {order.model};
             break;
         }
-        tell(e);
+        send_report(e);
         return OrderAnswer::Taken;
     }
 
     OrderAnswer join(Endpoint& e, const EndpointOrder& order) {
-        if (order.epoch < e.seen)
+        if (order.epoch < e.highest_epoch)
             return OrderAnswer::Stale;
         const Membership& old = e.report.membership;
         if (old.epoch != NoEpoch && old.epoch != order.epoch) {
@@ -388,7 +394,7 @@
                    host.replica->state().planned_groups(Service).contains(order.epoch);
         });
         unlogged_joins_ += logged || names_warm_up(order.group) ? 0 : 1;
-        e.seen = order.epoch;
+        e.highest_epoch = order.epoch;
         e.members.clear();
         for (const EndpointId& id : order.members)
             e.members.push_back(id.name);
@@ -398,11 +404,11 @@
                                MemberState::Joining};
         e.ready_at = now_ + milliseconds(200);
         e.open_at = {};
-        tell(e);
+        send_report(e);
         return OrderAnswer::Taken;
     }
 
-    Play play_;
+    Scenario scenario_;
     Time now_{seconds(100)};
     std::minstd_rand random_;
     std::map<std::string, Endpoint> endpoints_; // by name
@@ -415,115 +421,119 @@
     int unlogged_joins_ = 0;
 };
 
-using Fault = void (World::*)();
+using Fault = void (Simulation::*)();
 
-// Whatever goes wrong, no host joins a group while the lead of the one that it is in serves; once
-// nothing does any more, all groups serve again.
-void play(const Play& play, const std::vector<Fault>& faults, int most_faults) {
-    World world(play);
-    world.run(seconds(4));
-    const int count = *rc::gen::inRange(2, most_faults);
+// Checks that no host joins a group while the lead of its present group serves, whatever faults
+// occur, and that all groups serve again once the faults end.
+void simulate(const Scenario& scenario, const std::vector<Fault>& faults, int max_faults) {
+    Simulation sim(scenario);
+    sim.run(seconds(4));
+    const int count = *rc::gen::inRange(2, max_faults);
     for (int n = 0; n < count; ++n) {
         const Fault fault = faults[*rc::gen::inRange<std::size_t>(0, faults.size())];
-        (world.*fault)();
-        world.run(milliseconds(*rc::gen::inRange(0, 2500)));
-    }
-    world.heal();
-    world.words_are_on_time();
-    world.run(seconds(14));
-    if (!world.violations().empty())
-        RC_FAIL(world.violations().front());
-    if (world.open() != Pairs)
-        RC_FAIL(std::to_string(world.open()) + " groups are open in the end");
+        (sim.*fault)();
+        sim.run(milliseconds(*rc::gen::inRange(0, 2500)));
+    }
+    sim.heal();
+    sim.end_delays();
+    sim.run(seconds(14));
+    if (!sim.violations().empty())
+        RC_FAIL(sim.violations().front());
+    if (sim.open() != Pairs)
+        RC_FAIL(std::to_string(sim.open()) + " groups are open in the end");
 }
 
-Play any_play() {
-    Play p;
+Scenario any_scenario() {
+    Scenario p;
     p.seed = *rc::gen::inRange<std::uint32_t>(1, 1u << 30);
-    p.most_late = milliseconds(*rc::gen::inRange(2, 4000));
+    p.max_delay = milliseconds(*rc::gen::inRange(2, 4000));
     p.slow_to_notice = *rc::gen::arbitrary<bool>();
     p.slow_to_send = *rc::gen::arbitrary<bool>();
     return p;
 }
 
-RC_GTEST_PROP(LeaderChange, NoHostIsTakenFromAGroupThatServes, ()) {
-    play(any_play(),
-         {&World::cut_leader, &World::freeze_leader, &World::kill_leader, &World::kill_follower,
-          &World::end_some_group, &World::end_some_group, &World::heal},
-         12);
+RC_GTEST_PROP(LeaderChange, NoHostLeavesAServingGroupForAnother, ()) {
+    simulate(any_scenario(),
+             {&Simulation::partition_leader, &Simulation::freeze_leader, &Simulation::kill_leader,
+              &Simulation::kill_follower, &Simulation::end_one_group, &Simulation::end_one_group,
+              &Simulation::heal},
+             12);
 }
 
-RC_GTEST_PROP(LeaderChange, NorWhereEndpointsStartAgainUnderTheirNames, ()) {
-    play(any_play(),
-         {&World::cut_leader, &World::kill_leader, &World::restart_some_endpoint,
-          &World::restart_some_endpoint, &World::end_some_group, &World::heal},
-         12);
+RC_GTEST_PROP(LeaderChange, NoHostLeavesAServingGroupWhileEndpointsRestart, ()) {
+    simulate(any_scenario(),
+             {&Simulation::partition_leader, &Simulation::kill_leader,
+              &Simulation::restart_one_endpoint, &Simulation::restart_one_endpoint,
+              &Simulation::end_one_group, &Simulation::heal},
+             12);
 }
 
-RC_GTEST_PROP(LeaderChange, NorWhereAFollowerIsSentASnapshot, ()) {
-    play(any_play(),
-         {&World::kill_follower, &World::kill_leader, &World::cut_leader, &World::end_some_group,
-          &World::write_big_document, &World::write_big_document, &World::write_big_document,
-          &World::heal},
-         14);
+RC_GTEST_PROP(LeaderChange, NoHostLeavesAServingGroupWhileFollowersReceiveSnapshots, ()) {
+    simulate(any_scenario(),
+             {&Simulation::kill_follower, &Simulation::kill_leader, &Simulation::partition_leader,
+              &Simulation::end_one_group, &Simulation::write_big_document,
+              &Simulation::write_big_document, &Simulation::write_big_document, &Simulation::heal},
+             14);
 }
 
-// The plays are of use only where leaders do follow each other.
-TEST(LeaderChange, AnotherHostLeadsOnceTheLeaderIsCutOff) {
-    World world({.seed = 3, .slow_to_notice = true});
-    world.run(seconds(4));
-    EXPECT_EQ(world.open(), Pairs);
-    world.cut_leader();
-    world.run(seconds(2));
-    EXPECT_EQ(world.takeovers(), 2);
-    world.heal();
-    world.end_some_group();
-    world.run(seconds(4));
-    EXPECT_EQ(world.open(), Pairs);
+// The properties above test something only if leaders do change.
+TEST(LeaderChange, AnotherHostLeadsOnceTheLeaderIsPartitioned) {
+    Simulation sim({.seed = 3, .slow_to_notice = true});
+    sim.run(seconds(4));
+    EXPECT_EQ(sim.open(), Pairs);
+    sim.partition_leader();
+    sim.run(seconds(2));
+    EXPECT_EQ(sim.takeovers(), 2);
+    sim.heal();
+    sim.end_one_group();
+    sim.run(seconds(4));
+    EXPECT_EQ(sim.open(), Pairs);
 }
 
-TEST(LeaderChange, OrdersAreHeldOverAndComeAfterTheirRecordsHaveLeftTheLog) {
+// The scenarios must include queued orders of a deposed leader and joins that arrive after the
+// record of their group has been removed from the log.
+TEST(LeaderChange, DelayedOrdersArriveAfterTheirRecordsHaveLeftTheLog) {
     std::size_t held_over = 0;
     int unlogged_joins = 0;
     for (std::uint32_t seed = 1; seed <= 30; ++seed) {
-        World world({seed, milliseconds(3500), true, true});
-        world.run(seconds(4));
+        Simulation sim({seed, milliseconds(3500), true, true});
+        sim.run(seconds(4));
         for (int round = 0; round < 6; ++round) {
-            world.end_some_group();
-            world.end_some_group();
-            world.run(milliseconds(100 + 37 * round));
+            sim.end_one_group();
+            sim.end_one_group();
+            sim.run(milliseconds(100 + 37 * round));
             if (round % 2 == 0)
-                world.cut_leader();
-            world.run(milliseconds(900));
-            world.heal();
-            world.restart_some_endpoint();
-            world.run(milliseconds(800));
+                sim.partition_leader();
+            sim.run(milliseconds(900));
+            sim.heal();
+            sim.restart_one_endpoint();
+            sim.run(milliseconds(800));
         }
-        held_over += world.held_over();
-        unlogged_joins += world.unlogged_joins();
-        EXPECT_TRUE(world.violations().empty()) << "seed " << seed;
+        held_over += sim.held_over();
+        unlogged_joins += sim.unlogged_joins();
+        EXPECT_TRUE(sim.violations().empty()) << "seed " << seed;
     }
     EXPECT_GT(held_over, 0u);
     EXPECT_GT(unlogged_joins, 0);
 }
 
-TEST(LeaderChange, WhoeverWasDownIsSentASnapshot) {
-    World world({.seed = 5});
-    world.run(seconds(4));
-    const NodeId down = world.leader() % ControlHosts + 1;
-    world.kill(down);
+TEST(LeaderChange, AHostThatWasDownReceivesASnapshot) {
+    Simulation sim({.seed = 5});
+    sim.run(seconds(4));
+    const NodeId down = sim.leader() % ControlHosts + 1;
+    sim.kill(down);
     for (int n = 0; n < 6; ++n) {
-        world.write_big_document();
-        world.end_some_group();
-        world.run(milliseconds(600));
-    }
-    world.heal();
-    world.run(seconds(2));
-    EXPECT_TRUE(world.was_sent_snapshot(down));
-    world.kill_leader();
-    world.run(seconds(6));
-    EXPECT_EQ(world.open(), Pairs);
-    EXPECT_TRUE(world.violations().empty());
+        sim.write_big_document();
+        sim.end_one_group();
+        sim.run(milliseconds(600));
+    }
+    sim.heal();
+    sim.run(seconds(2));
+    EXPECT_TRUE(sim.was_sent_snapshot(down));
+    sim.kill_leader();
+    sim.run(seconds(6));
+    EXPECT_EQ(sim.open(), Pairs);
+    EXPECT_TRUE(sim.violations().empty());
 }
 
 } // namespace
--- a/tests/unit/placement_test.cpp
+++ b/tests/unit/placement_test.cpp
@@ -1,3 +1,5 @@
+// Tests placement and repair against simulated hosts on a virtual clock.
+
 #include "process/placement.h"
 
 #include <gtest/gtest.h>
@@ -11,10 +13,10 @@
 constexpr Duration Tick = milliseconds(100);
 const std::string Site = "o/r/s";
 
-// Hosts that obey at once and load in a set time, driven by a planner on a virtual clock.
-class World {
+// Hosts that follow the state at once and load weights in a fixed time.
+class Simulation {
   public:
-    World(int domains, int hosts_each, PlacementSettings settings)
+    Simulation(int domains, int hosts_each, PlacementSettings settings)
         : settings_(std::move(settings)) {
         for (int d = 0; d < domains; ++d)
             for (int i = 0; i < hosts_each; ++i) {
@@ -39,7 +41,7 @@
         HostSpec spec = state.hosts().at(name).spec;
         apply(RegisterHost{spec, host.incarnation});
     }
-    // The process of the host's engine ends: the agent is heard, holds nothing, and says so.
+    // Ends the engine process of the host. Its agent reports that it holds no group.
     void end_engine(const std::string& name) {
         Host& host = hosts_[name];
         host.engine_gone = true;
@@ -93,7 +95,7 @@
         EXPECT_TRUE(state.violations().empty());
     }
 
-    void obey(const std::string& name, Host& host) {
+    void follow_state(const std::string& name, Host& host) {
         const auto& known = state.hosts().at(name);
         const auto group = state.groups().find(known.bound);
         if (group == state.groups().end() || group->second.phase == GroupPhase::Releasing) {
@@ -134,7 +136,7 @@
         now += Tick;
         for (auto& [name, host] : hosts_)
             if (host.up)
-                obey(name, host);
+                follow_state(name, host);
         for (auto& [name, host] : hosts_)
             if (host.up)
                 planner.observe(report(name, host), now);
@@ -164,182 +166,182 @@
 }
 
 TEST(Placement, FormsWholeGroupsInsideDomains) {
-    World world(2, 6, wanting(2));
-    world.run(seconds(10));
-    EXPECT_EQ(world.serving(), 2u);
-    EXPECT_EQ(world.formed, 2);
+    Simulation sim(2, 6, wanting(2));
+    sim.run(seconds(10));
+    EXPECT_EQ(sim.serving(), 2u);
+    EXPECT_EQ(sim.formed, 2);
 }
 
 TEST(Placement, ReplacesALostHostWithASpareOfItsDomain) {
-    World world(1, 5, wanting(1));
-    world.run(seconds(10));
-    world.down("a0");
-    world.run(seconds(10));
-    EXPECT_EQ(world.serving(), 1u);
-    EXPECT_EQ(world.formed, 2);
+    Simulation sim(1, 5, wanting(1));
+    sim.run(seconds(10));
+    sim.down("a0");
+    sim.run(seconds(10));
+    EXPECT_EQ(sim.serving(), 1u);
+    EXPECT_EQ(sim.formed, 2);
 }
 
 // A host that returns after its group was repaired does not undo the repair.
-TEST(Placement, AReturningHostIsASpare) {
-    World world(1, 5, wanting(1));
-    world.run(seconds(10));
-    world.down("a0");
-    world.run(seconds(10));
-    world.up("a0", false);
-    world.run(seconds(10));
-    EXPECT_EQ(world.formed, 2);
-    EXPECT_EQ(world.state.hosts().at("a0").bound, NoEpoch);
+TEST(Placement, AHostThatReturnsAfterTheRepairIsASpare) {
+    Simulation sim(1, 5, wanting(1));
+    sim.run(seconds(10));
+    sim.down("a0");
+    sim.run(seconds(10));
+    sim.up("a0", false);
+    sim.run(seconds(10));
+    EXPECT_EQ(sim.formed, 2);
+    EXPECT_EQ(sim.state.hosts().at("a0").bound, NoEpoch);
 }
 
-TEST(Placement, AHostWhoseEngineEndedIsReplacedAndIsASpareOnceItIsBack) {
-    World world(1, 5, wanting(1));
-    world.run(seconds(10));
-    const std::string lead = world.state.groups().begin()->second.lead().host;
-    world.end_engine(lead);
-    world.run(seconds(5));
-    EXPECT_EQ(world.serving(), 1u);
-    EXPECT_EQ(world.formed, 2);
-    EXPECT_EQ(world.state.hosts().at(lead).bound, NoEpoch);
-    world.restart_engine(lead);
-    const std::string next = world.state.groups().begin()->second.lead().host;
+TEST(Placement, AHostWhoseEngineEndedIsReplacedAndBecomesASpareOnceItRestarts) {
+    Simulation sim(1, 5, wanting(1));
+    sim.run(seconds(10));
+    const std::string lead = sim.state.groups().begin()->second.lead().host;
+    sim.end_engine(lead);
+    sim.run(seconds(5));
+    EXPECT_EQ(sim.serving(), 1u);
+    EXPECT_EQ(sim.formed, 2);
+    EXPECT_EQ(sim.state.hosts().at(lead).bound, NoEpoch);
+    sim.restart_engine(lead);
+    const std::string next = sim.state.groups().begin()->second.lead().host;
     ASSERT_NE(next, lead);
-    world.end_engine(next);
-    world.run(seconds(5));
-    EXPECT_EQ(world.serving(), 1u) << "the host that is back takes the place";
-    EXPECT_EQ(world.formed, 3);
+    sim.end_engine(next);
+    sim.run(seconds(5));
+    EXPECT_EQ(sim.serving(), 1u) << "the host whose engine has restarted is the replacement";
+    EXPECT_EQ(sim.formed, 3);
 }
 
-TEST(Placement, WithoutASpareTheGroupIsFormedAgainOnceTheEngineIsBack) {
-    World world(1, 4, wanting(1));
-    world.run(seconds(10));
-    world.end_engine("a2");
-    world.run(seconds(5));
-    EXPECT_EQ(world.serving(), 0u);
-    EXPECT_EQ(world.formed, 1) << "no group with an empty host";
-    world.restart_engine("a2");
-    world.run(seconds(5));
-    EXPECT_EQ(world.serving(), 1u);
-    EXPECT_EQ(world.formed, 2);
+TEST(Placement, WithoutASpareTheGroupIsFormedAgainOnceTheEngineRestarts) {
+    Simulation sim(1, 4, wanting(1));
+    sim.run(seconds(10));
+    sim.end_engine("a2");
+    sim.run(seconds(5));
+    EXPECT_EQ(sim.serving(), 0u);
+    EXPECT_EQ(sim.formed, 1) << "no group with a host without an engine";
+    sim.restart_engine("a2");
+    sim.run(seconds(5));
+    EXPECT_EQ(sim.serving(), 1u);
+    EXPECT_EQ(sim.formed, 2);
 }
 
-// The engine was back before control heard that it had ended.
-TEST(Placement, AnEngineThatIsBackAtOnceStillEndsItsGroup) {
-    World world(1, 4, wanting(1));
-    world.run(seconds(10));
-    world.end_engine("a2");
-    world.restart_engine("a2");
-    world.run(seconds(5));
-    EXPECT_EQ(world.serving(), 1u);
-    EXPECT_EQ(world.formed, 2);
+// The engine restarts before control receives a report of its end.
+TEST(Placement, AnEngineThatRestartsAtOnceStillEndsItsGroup) {
+    Simulation sim(1, 4, wanting(1));
+    sim.run(seconds(10));
+    sim.end_engine("a2");
+    sim.restart_engine("a2");
+    sim.run(seconds(5));
+    EXPECT_EQ(sim.serving(), 1u);
+    EXPECT_EQ(sim.formed, 2);
 }
 
-TEST(Placement, WaitsWithoutSparesAndServesAgainWithoutALoad) {
-    World world(1, 4, wanting(1));
-    world.run(seconds(10));
-    world.down("a1");
-    world.run(seconds(5));
-    EXPECT_EQ(world.serving(), 0u);
-    world.up("a1", false);
-    world.run(seconds(2));
-    EXPECT_EQ(world.serving(), 1u);
-    EXPECT_EQ(world.formed, 1);
+TEST(Placement, WithoutSparesWaitsForTheHostAndServesAgainWithoutALoad) {
+    Simulation sim(1, 4, wanting(1));
+    sim.run(seconds(10));
+    sim.down("a1");
+    sim.run(seconds(5));
+    EXPECT_EQ(sim.serving(), 0u);
+    sim.up("a1", false);
+    sim.run(seconds(2));
+    EXPECT_EQ(sim.serving(), 1u);
+    EXPECT_EQ(sim.formed, 1);
 }
 
-// A load that takes far longer than hosts usually stay away is not worth it at first.
+// At first a load is not worthwhile if it takes far longer than the usual outage.
 TEST(Placement, WaitsWhenALoadCostsMoreThanTheExpectedReturn) {
     PlacementSettings settings = wanting(1);
     settings.outage.mean_return = seconds(5);
     settings.outage.loss_share = 0.01;
     settings.models[0].weight_mb = 100000;
-    World world(1, 5, settings);
-    world.load_time = seconds(100);
-    world.run(seconds(150));
-    world.down("a0");
-    world.run(seconds(8));
-    EXPECT_EQ(world.formed, 1);
-    world.run(seconds(60));
-    EXPECT_EQ(world.formed, 2) << "the longer the silence, the less likely is a return";
+    Simulation sim(1, 5, settings);
+    sim.load_time = seconds(100);
+    sim.run(seconds(150));
+    sim.down("a0");
+    sim.run(seconds(8));
+    EXPECT_EQ(sim.formed, 1);
+    sim.run(seconds(60));
+    EXPECT_EQ(sim.formed, 2) << "the longer the outage, the less likely is a return";
 }
 
-TEST(Placement, ADarkDomainIsMovedOnceAndNotHostByHost) {
-    World world(2, 8, wanting(2));
-    world.run(seconds(15));
-    ASSERT_EQ(world.serving(), 2u);
+TEST(Placement, AnUnreachableDomainIsMovedOnceAndNotHostByHost) {
+    Simulation sim(2, 8, wanting(2));
+    sim.run(seconds(15));
+    ASSERT_EQ(sim.serving(), 2u);
     std::set<std::string> domains;
-    for (const auto& [epoch, group] : world.state.groups())
+    for (const auto& [epoch, group] : sim.state.groups())
         domains.insert(group.domain);
-    const int before = world.formed;
-    for (const std::string& name : world.names())
+    const int before = sim.formed;
+    for (const std::string& name : sim.names())
         if (name[0] == 'a')
-            world.down(name);
-    world.run(seconds(20));
-    EXPECT_EQ(world.serving(), 2u);
-    EXPECT_LE(world.formed - before, 2);
+            sim.down(name);
+    sim.run(seconds(20));
+    EXPECT_EQ(sim.serving(), 2u);
+    EXPECT_LE(sim.formed - before, 2);
 }
 
 TEST(Placement, TwoBrokenGroupsAreMergedIntoOneThatServes) {
-    World world(1, 8, wanting(2));
-    world.run(seconds(15));
-    ASSERT_EQ(world.serving(), 2u);
-    for (const auto& [epoch, group] : std::map(world.state.groups()))
-        world.down(group.members.back().host);
-    world.run(seconds(20));
-    EXPECT_EQ(world.serving(), 1u);
+    Simulation sim(1, 8, wanting(2));
+    sim.run(seconds(15));
+    ASSERT_EQ(sim.serving(), 2u);
+    for (const auto& [epoch, group] : std::map(sim.state.groups()))
+        sim.down(group.members.back().host);
+    sim.run(seconds(20));
+    EXPECT_EQ(sim.serving(), 1u);
 }
 
-TEST(Placement, ALeavingHostsGroupIsReplacedBeforeItStops) {
-    World world(1, 8, wanting(1));
-    world.run(seconds(10));
-    const std::string leaving = world.state.groups().begin()->second.members[1].host;
-    world.leave(leaving);
+TEST(Placement, TheGroupOfALeavingHostIsReplacedBeforeItStops) {
+    Simulation sim(1, 8, wanting(1));
+    sim.run(seconds(10));
+    const std::string leaving = sim.state.groups().begin()->second.members[1].host;
+    sim.leave(leaving);
     std::size_t least = 1;
     for (int i = 0; i < 100; ++i) {
-        world.run(Tick);
-        least = std::min(least, world.serving());
+        sim.run(Tick);
+        least = std::min(least, sim.serving());
     }
     EXPECT_EQ(least, 1u);
-    EXPECT_EQ(world.state.hosts().at(leaving).bound, NoEpoch);
+    EXPECT_EQ(sim.state.hosts().at(leaving).bound, NoEpoch);
 }
 
-// Random faults, for all policies and weights.
+// Random faults with several weights of downtime and of stranded accelerators.
 TEST(Placement, ConvergesAfterRandomFaults) {
     EXPECT_TRUE(rc::check([] {
         PlacementSettings settings = wanting(3);
         settings.downtime_weight = *rc::gen::element(0.1, 1.0, 10.0);
         settings.stranded_weight = *rc::gen::element(0.0, 0.1, 1.0);
-        World world(2, 7, settings);
-        world.run(seconds(20));
-        RC_ASSERT(world.serving() == 2u); // three do not fit into two domains of seven
+        Simulation sim(2, 7, settings);
+        sim.run(seconds(20));
+        RC_ASSERT(sim.serving() == 2u); // three groups do not fit into two domains of seven hosts
         int faults = 0;
-        const auto names = world.names();
+        const auto names = sim.names();
         for (const int action :
              *rc::gen::container<std::vector<int>>(12, rc::gen::inRange(0, 42))) {
             const std::string& name = names[static_cast<std::size_t>(action) % names.size()];
-            if (world.is_up(name)) {
-                world.down(name);
+            if (sim.is_up(name)) {
+                sim.down(name);
                 ++faults;
             } else {
-                world.up(name, action % 2 == 0);
+                sim.up(name, action % 2 == 0);
                 ++faults;
             }
-            world.run(milliseconds(300 * (action % 15)));
+            sim.run(milliseconds(300 * (action % 15)));
         }
         for (const std::string& name : names)
-            if (!world.is_up(name)) {
-                world.up(name, false);
+            if (!sim.is_up(name)) {
+                sim.up(name, false);
                 ++faults;
             }
-        world.run(seconds(60));
-        RC_ASSERT(world.serving() == 2u);
-        RC_ASSERT(world.formed <= 2 + 2 * faults);
-        RC_ASSERT(world.most_loading <= settings.loads_at_once);
-        const int settled = world.formed;
-        world.run(seconds(60));
-        RC_ASSERT(world.formed == settled);
+        sim.run(seconds(60));
+        RC_ASSERT(sim.serving() == 2u);
+        RC_ASSERT(sim.formed <= 2 + 2 * faults);
+        RC_ASSERT(sim.most_loading <= settings.loads_at_once);
+        const int settled = sim.formed;
+        sim.run(seconds(60));
+        RC_ASSERT(sim.formed == settled);
     }));
 }
 
-TEST(Outage, TheLongerTheSilenceTheLongerTheExpectedRest) {
+TEST(Outage, ExpectedRemainingTimeGrowsWithTheOutage) {
     OutageStats stats;
     OutagePrior prior;
     EXPECT_LT(stats.expected_remaining(seconds(1), prior),
--- a/tests/unit/plannerfleet.h
+++ b/tests/unit/plannerfleet.h
@@ -1,8 +1,8 @@
 #ifndef PLANNERFLEET_H_INCLUDED
 #define PLANNERFLEET_H_INCLUDED
 
-// Endpoints that keep their own state, as real ones do, before a planner: orders change it, and
-// only reports tell of it.
+// A simulated fleet of endpoints that a planner controls: orders change the state of an endpoint,
+// and the planner learns it from reports only.
 
 #include "process/groupplanner.h"
 
@@ -27,16 +27,16 @@
     return e;
 }
 
-// Endpoints with what they hold, as the users' workers behave.
+// Endpoints that carry out orders as real ones do.
 class Fleet {
   public:
     struct Endpoint {
         EndpointReport report;
-        std::vector<EndpointId> list; // of the present group
+        std::vector<EndpointId> group_members;
         Time ready_at{};
         Time open_at{};
         Time closed_at{};
-        bool dark = false; // neither reports nor answers
+        bool unreachable = false; // neither reports nor answers
         std::uint64_t fence = 0;
         std::string warm;
     };
@@ -58,16 +58,16 @@
         return e.report.id;
     }
 
-    void tell(Endpoint& e) {
+    void send_report(Endpoint& e) {
         ++e.report.sequence;
         if (registry.merge(e.report, now))
             planner.observe(registry.find(e.report.id)->report, now);
-        settle_doubts();
+        answer_address_checks();
     }
 
-    // The endpoint has crashed, and its host has begun anew; its disk is as it was.
+    // Crashes the endpoint and starts a new one on its host, with the weights on its disk.
     EndpointId restart(Endpoint& old) {
-        old.dark = true;
+        old.unreachable = true;
         const EndpointId id = add(old.report.domain);
         Endpoint& e = endpoints.at(id);
         e.report.address = old.report.address;
@@ -75,9 +75,9 @@
         return id;
     }
 
-    // The same, under the name that it had.
-    EndpointId restart_under_its_name(Endpoint& old) {
-        old.dark = true;
+    // The same, and the new endpoint has the name of the old one.
+    EndpointId restart_under_same_name(Endpoint& old) {
+        old.unreachable = true;
         Endpoint e;
         e.report.id = {old.report.id.name, old.report.id.started_ms + 1000};
         e.report.service = old.report.service;
@@ -87,22 +87,23 @@
         return endpoints.emplace(e.report.id, e).first->first;
     }
 
-    // One step of 50 ms: endpoints move on and report, the planner plans, orders are answered.
+    // Advances the time by 50 ms: endpoints report, the planner runs a round, and orders are
+    // answered.
     void step() {
         now += std::chrono::milliseconds(50);
         for (auto& [id, e] : endpoints) {
-            if (e.dark)
+            if (e.unreachable)
                 continue;
             advance(e);
-            if (now - beat_[id] >= std::chrono::milliseconds(1200)) {
-                beat_[id] = now;
-                tell(e);
+            if (now - last_heartbeat_[id] >= std::chrono::milliseconds(1200)) {
+                last_heartbeat_[id] = now;
+                send_report(e);
             }
         }
-        give(planner.plan(registry, now));
+        execute(planner.plan(registry, now));
         commit(planner.take_changes());
         for (const EndpointId& id : planner.take_probes())
-            planner.probed(id, !endpoints.at(id).dark, now);
+            planner.probed(id, !endpoints.at(id).unreachable, now);
         (void)planner.take_events();
     }
 
@@ -115,14 +116,14 @@
         return static_cast<std::size_t>(
             std::count_if(endpoints.begin(), endpoints.end(), [&](const auto& item) {
                 const EndpointReport& r = item.second.report;
-                return !item.second.dark && r.leads_open_group() &&
+                return !item.second.unreachable && r.leads_open_group() &&
                        r.membership.group.starts_with(model + ".");
             }));
     }
 
     Endpoint& lead_of(const std::string& model) {
         for (auto& [id, e] : endpoints)
-            if (!e.dark && e.report.leads_open_group() &&
+            if (!e.unreachable && e.report.leads_open_group() &&
                 e.report.membership.group.starts_with(model + "."))
                 return e;
         throw std::runtime_error("no open group of " + model);
@@ -135,18 +136,18 @@
     std::vector<std::string> violations;
     int orders = 0;
     int loads = 0;               // from the weight store
-    PlannedGroups log;           // the replicated log's
-    Duration close_takes{};      // until what an open group had is finished
-    std::set<EndpointId> silent; // answer no order, but carry it out
+    PlannedGroups log;           // groups that the replicated log holds
+    Duration close_time{};       // time that a closing group needs for its requests
+    std::set<EndpointId> silent; // endpoints that carry orders out but do not answer
 
   private:
-    void give(const std::vector<EndpointOrder>& given) {
+    void execute(const std::vector<EndpointOrder>& given) {
         for (const EndpointOrder& order : given) {
             ++orders;
             if (order.kind == OrderKind::Join && order.members.size() > 1 &&
                 !log.contains(order.epoch))
                 violations.push_back(order.group + " is ordered and not in the log");
-            planner.answered(order, take(order), now);
+            planner.answered(order, handle_order(order), now);
         }
     }
 
@@ -154,15 +155,15 @@
         log.insert(changes.formed.begin(), changes.formed.end());
         for (const Epoch epoch : changes.ended)
             log.erase(epoch);
-        give(planner.recorded(changes, registry, now));
+        execute(planner.recorded(changes, registry, now));
     }
 
-    // Each address answers for the start that it has.
-    void settle_doubts() {
-        for (const Registry::AddressCheck& question : registry.take_address_checks(now))
-            if (const auto at = endpoints.find(question.endpoint.id);
-                at != endpoints.end() && !at->second.dark)
-                registry.confirmed(question, now);
+    // Answers the address checks of the registry with the endpoint that is at each address.
+    void answer_address_checks() {
+        for (const Registry::AddressCheck& check : registry.take_address_checks(now))
+            if (const auto at = endpoints.find(check.endpoint.id);
+                at != endpoints.end() && !at->second.unreachable)
+                registry.confirmed(check, now);
         for (const EndpointId& id : registry.take_resolved())
             planner.observe(registry.find(id)->report, now);
     }
@@ -174,27 +175,27 @@
             const std::string model = m.group.substr(0, m.group.rfind('.'));
             e.report.staged = {model};
             e.warm = model;
-            tell(e);
+            send_report(e);
         }
         if (m.state == MemberState::Closing && now >= e.closed_at) {
             m.state = MemberState::Ready;
-            tell(e);
+            send_report(e);
         }
         if (m.state == MemberState::Ready && e.open_at != Time{} && now >= e.open_at) {
             m.state = MemberState::Open;
             e.open_at = {};
-            tell(e);
+            send_report(e);
         }
         if (staging_.contains(e.report.id) && now >= staging_[e.report.id].second) {
             e.report.staged = {staging_[e.report.id].first};
             staging_.erase(e.report.id);
-            tell(e);
+            send_report(e);
         }
     }
 
-    OrderAnswer take(const EndpointOrder& order) {
+    OrderAnswer handle_order(const EndpointOrder& order) {
         Endpoint& e = endpoints.at(order.endpoint);
-        if (e.dark)
+        if (e.unreachable)
             return OrderAnswer::Silent;
         if (order.fence <= e.fence)
             violations.push_back("a fence that does not rise");
@@ -220,14 +221,14 @@
             if (!same)
                 return OrderAnswer::Unfit;
             m.state = MemberState::Closing;
-            e.closed_at = now + close_takes;
+            e.closed_at = now + close_time;
             advance(e);
             return OrderAnswer::Taken;
         case OrderKind::Leave:
             if (!same)
                 return OrderAnswer::Unfit;
             m = {};
-            tell(e);
+            send_report(e);
             return OrderAnswer::Taken;
         case OrderKind::Stage:
             ++loads;
@@ -237,11 +238,11 @@
         return OrderAnswer::Unfit;
     }
 
-    // The rule that no host is in two groups: it was set free by itself or by its lead.
+    // Checks that no host is in two groups: its lead must have stopped serving before it joins.
     void join(Endpoint& e, const EndpointOrder& order) {
         const Membership& old = e.report.membership;
-        if (old.epoch != NoEpoch && !e.list.empty()) {
-            const Endpoint& lead = endpoints.at(e.list.front());
+        if (old.epoch != NoEpoch && !e.group_members.empty()) {
+            const Endpoint& lead = endpoints.at(e.group_members.front());
             const Membership& l = lead.report.membership;
             if (l.epoch == old.epoch &&
                 (l.state == MemberState::Open || l.state == MemberState::Closing))
@@ -252,29 +253,29 @@
         const Duration takes = e.warm == order.model ? std::chrono::milliseconds(200)
                                : staged              ? std::chrono::milliseconds(1600)
                                                      : std::chrono::seconds(2);
-        e.list = order.members;
+        e.group_members = order.members;
         const auto at = std::find(order.members.begin(), order.members.end(), order.endpoint);
         e.report.membership = {order.group, order.epoch,
                                static_cast<std::uint32_t>(at - order.members.begin()),
                                MemberState::Joining};
         e.ready_at = now + takes;
         e.open_at = {};
-        tell(e);
+        send_report(e);
     }
 
     void check_open(const Endpoint& lead, const EndpointOrder& order) {
-        for (const EndpointId& id : lead.list) {
+        for (const EndpointId& id : lead.group_members) {
             const Membership& m = endpoints.at(id).report.membership;
             if (m.epoch != order.epoch || m.state == MemberState::Joining)
                 violations.push_back("opened while " + id.name + " is not ready");
         }
         const std::size_t size = order.model == "big" ? 4 : 2;
-        if (lead.list.size() != size)
+        if (lead.group_members.size() != size)
             violations.push_back("opened with a wrong number of members");
     }
 
     int next_ = 0;
-    std::map<EndpointId, Time> beat_;
+    std::map<EndpointId, Time> last_heartbeat_;
     std::map<EndpointId, std::pair<std::string, Time>> staging_;
 };
 
--- a/tests/unit/plannerrounds_test.cpp
+++ b/tests/unit/plannerrounds_test.cpp
@@ -1,5 +1,5 @@
-// What one round of the planner costs where thousands of endpoints register: a leader that plans
-// for longer than an election timeout loses its office to hosts that hear nothing of it.
+// Bounds the CPU time of one planning round with thousands of endpoints: a leader that plans for
+// longer than the election timeout sends no heartbeats meanwhile and loses its leadership.
 
 #include "process/groupplanner.h"
 #include "unit/cputime.h"
@@ -14,9 +14,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// The smallest control hosts have 0.3 of a core, and others elect a leader after 350 ms of silence:
-// 105 ms of a whole core are that long.
-constexpr Duration MostOfOneRound = milliseconds(105);
+// The smallest control hosts have 0.3 of a core, and the others elect a new leader after 350 ms
+// without heartbeats. On such a host, 105 ms of CPU time take 350 ms.
+constexpr Duration MaxRoundCpuTime = milliseconds(105);
 
 EngineCost engine(std::uint32_t big, std::uint32_t small) {
     EngineCost e;
@@ -39,8 +39,8 @@
         planner_.take_over(1, now_);
     }
 
-    // Rounds until all that could be ordered is, with every order carried out at once. The longest
-    // of them.
+    // Runs planning rounds in which every order is carried out at once, and returns the CPU time of
+    // the longest one.
     Duration longest_round(int rounds) {
         Duration longest{};
         for (int n = 0; n < rounds; ++n) {
@@ -55,7 +55,7 @@
                 carry_out(order);
             (void)planner_.take_events();
             for (auto& [id, report] : reports_)
-                tell(report);
+                send_report(report);
         }
         return longest;
     }
@@ -71,10 +71,10 @@
             "10.0." + std::to_string(number / 250) + "." + std::to_string(number % 250 + 1) + ":80";
         report.zone = "z";
         report.domain = domain;
-        tell(reports_.emplace(report.id, report).first->second);
+        send_report(reports_.emplace(report.id, report).first->second);
     }
 
-    void tell(EndpointReport& report) {
+    void send_report(EndpointReport& report) {
         ++report.sequence;
         if (registry_.merge(report, now_))
             planner_.observe(report, now_);
@@ -107,19 +107,18 @@
     const Duration longest = fleet.longest_round(20);
     testing::Test::RecordProperty("longest_ms", std::to_string(to_millis(longest)));
     EXPECT_GT(fleet.orders(), 3000u);
-    EXPECT_LT(longest, MostOfOneRound);
+    EXPECT_LT(longest, MaxRoundCpuTime);
 }
 
-TEST(PlannerRounds, TheFirstLayoutOfThreeThousandEndpointsTakesLessThanAnElection) {
+TEST(PlannerRounds, FirstLayoutOfThreeThousandEndpointsIsFasterThanAnElection) {
     expect_short_rounds({30, 100});
 }
 
-// The same with few, large domains.
-TEST(PlannerRounds, NorDoesItInThreeLargeDomains) {
+TEST(PlannerRounds, FirstLayoutInThreeLargeDomainsIsFasterThanAnElection) {
     expect_short_rounds({3, 1000});
 }
 
-TEST(PlannerRounds, NorDoesItWithAThousandGroups) {
+TEST(PlannerRounds, FirstLayoutOfAThousandGroupsIsFasterThanAnElection) {
     expect_short_rounds({375, 8, engine(4, 2)});
 }
 
--- a/tests/unit/takeover_test.cpp
+++ b/tests/unit/takeover_test.cpp
@@ -1,6 +1,5 @@
-// Two control hosts that both think they lead, endpoints whose words come late, and orders that are
-// carried out late: whatever the delays, no host joins a group while the lead of the one that it is
-// in serves.
+// Simulates two control hosts that both act as leader, with delayed reports and delayed orders.
+// Whatever the delays, no host may join a group while the lead of its present group serves.
 
 #include "process/groupplanner.h"
 
@@ -19,8 +18,8 @@
 using std::chrono::seconds;
 
 constexpr Duration Step = milliseconds(50);
-constexpr Duration Beat = milliseconds(1200);
-constexpr Duration OrderPatience = milliseconds(1000);
+constexpr Duration HeartbeatInterval = milliseconds(1200);
+constexpr Duration OrderTimeout = milliseconds(1000);
 
 EngineCost engine() {
     EngineCost e;
@@ -32,19 +31,18 @@
     return e;
 }
 
-// One endpoint, as the users' workers behave: it refuses fences below the highest it has seen, and
-// orders that expect another count of orders than it has taken.
+// A simulated endpoint. It refuses fences below the highest that it has seen.
 struct Host {
     EndpointReport report;
-    std::vector<EndpointId> list;
+    std::vector<EndpointId> group_members;
     std::uint64_t fence = 0;
     std::uint64_t taken = 0; // orders
     Time ready_at{};
     Time open_at{};
-    Time beat_due{};
+    Time heartbeat_due{};
 };
 
-// A control host with what has reached it.
+// A control host with the reports that it has received.
 struct Control {
     explicit Control(bool first_start) : planner("llm", GroupPlannerConfig{}, first_start) {}
     GroupPlanner planner;
@@ -52,7 +50,7 @@
     bool leads = false;
 };
 
-// Changes that a leader has asked the replicated log for, and not heard of yet.
+// Changes that a leader has proposed to the replicated log.
 struct Proposal {
     Control* by = nullptr;
     GroupChanges changes;
@@ -60,9 +58,9 @@
     bool committed = false;
 };
 
-class World {
+class Simulation {
   public:
-    World(std::uint32_t seed, Duration most_late) : random_(seed), most_late_(most_late) {
+    Simulation(std::uint32_t seed, Duration max_delay) : random_(seed), max_delay_(max_delay) {
         for (int n = 0; n < 8; ++n) {
             Host host;
             host.report.id = {"i" + std::to_string(n), 7};
@@ -83,8 +81,8 @@
             ;
     }
 
-    // The newer host leads; the old one does not know, and goes on. What that one has asked the log
-    // for is committed or lost by now: nobody can add to an earlier term.
+    // Elects the newer host, while the old one still acts as leader. The proposals of the old one
+    // are each committed or lost now, since no entry of an earlier term can be committed later.
     void elect() {
         for (const auto& proposal : proposals_)
             if (!proposal->settled)
@@ -94,12 +92,12 @@
         newer_.leads = true;
     }
     void depose() { old_.leads = false; }
-    // A host crashes out of its group, so that the groups are formed anew.
-    void end_some_group() {
+    // Removes the lead of an open group from it, so that a new group has to be formed.
+    void end_one_group() {
         for (auto& [id, host] : hosts_)
             if (host.report.leads_open_group()) {
                 host.report.membership = {};
-                tell(host);
+                send_report(host);
                 return;
             }
     }
@@ -126,14 +124,14 @@
 
     void plan(Control& control) {
         for (const EndpointOrder& order : control.planner.plan(control.registry, now_))
-            give(control, order);
+            send_order(control, order);
         propose(control);
         for (const EndpointId& id : control.planner.take_probes())
             control.planner.probed(id, true, now_);
         (void)control.planner.take_events();
     }
 
-    // A leader hears late of what was committed, perhaps when another one has been elected.
+    // The commit reaches the leader with a delay, possibly after another leader has been elected.
     void propose(Control& control) {
         const auto proposal = std::make_shared<Proposal>();
         proposal->by = &control;
@@ -141,7 +139,7 @@
         if (proposal->changes.empty())
             return;
         proposals_.push_back(proposal);
-        at(now_ + late(), [this, proposal] {
+        at(now_ + random_delay(), [this, proposal] {
             if (!proposal->settled)
                 settle(*proposal, proposal->by == elected_);
             if (!proposal->committed || !proposal->by->leads)
@@ -149,7 +147,7 @@
             Control& by = *proposal->by;
             for (const EndpointOrder& order :
                  by.planner.recorded(proposal->changes, by.registry, now_))
-                give(by, order);
+                send_order(by, order);
         });
     }
 
@@ -163,8 +161,8 @@
             log_.erase(epoch);
     }
 
-    Duration late() {
-        const auto most = std::chrono::duration_cast<milliseconds>(most_late_).count();
+    Duration random_delay() {
+        const auto most = std::chrono::duration_cast<milliseconds>(max_delay_).count();
         const bool on_time = std::uniform_int_distribution<int>(0, 1)(random_) == 0;
         return on_time ? milliseconds(1)
                        : milliseconds(std::uniform_int_distribution<int>(1, int(most))(random_));
@@ -172,20 +170,20 @@
 
     void at(Time when, std::function<void()> what) { pending_.emplace(when, std::move(what)); }
 
-    void give(Control& control, const EndpointOrder& order) {
-        const Duration way = late();
+    void send_order(Control& control, const EndpointOrder& order) {
+        const Duration delay = random_delay();
         const auto answer = std::make_shared<OrderAnswer>(OrderAnswer::Silent);
-        at(now_ + way, [this, order, answer] { *answer = take(order); });
-        at(now_ + std::min(way, OrderPatience) + Step,
+        at(now_ + delay, [this, order, answer] { *answer = handle_order(order); });
+        at(now_ + std::min(delay, OrderTimeout) + Step,
            [this, &control, order, answer] { control.planner.answered(order, *answer, now_); });
     }
 
-    // Sent to both control hosts; each word may be on its way for long.
-    void tell(Host& host) {
+    // Reports to both control hosts, each with its own delay.
+    void send_report(Host& host) {
         ++host.report.sequence;
-        host.beat_due = now_ + Beat;
+        host.heartbeat_due = now_ + HeartbeatInterval;
         for (Control* control : {&old_, &newer_})
-            at(now_ + late(), [this, control, report = host.report] {
+            at(now_ + random_delay(), [this, control, report = host.report] {
                 if (control->registry.merge(report, now_))
                     control->planner.observe(control->registry.find(report.id)->report, now_);
             });
@@ -196,18 +194,18 @@
         if (m.epoch != NoEpoch && m.state == MemberState::Joining && now_ >= host.ready_at) {
             m.state = MemberState::Ready;
             host.report.staged = {"m"};
-            tell(host);
+            send_report(host);
         } else if (m.state == MemberState::Ready && host.open_at != Time{} &&
                    now_ >= host.open_at) {
             m.state = MemberState::Open;
             host.open_at = {};
-            tell(host);
-        } else if (now_ >= host.beat_due) {
-            tell(host);
+            send_report(host);
+        } else if (now_ >= host.heartbeat_due) {
+            send_report(host);
         }
     }
 
-    OrderAnswer take(const EndpointOrder& order) {
+    OrderAnswer handle_order(const EndpointOrder& order) {
         Host& host = hosts_.at(order.endpoint);
         Membership& m = host.report.membership;
         if (order.fence < host.fence)
@@ -227,11 +225,11 @@
             if (!same)
                 return OrderAnswer::Unfit;
             m = {};
-            tell(host);
+            send_report(host);
             break;
         case OrderKind::Stage:
             host.report.staged = {order.model};
-            tell(host);
+            send_report(host);
             break;
         }
         ++host.taken;
@@ -243,69 +241,69 @@
         if (order.epoch < old.epoch)
             return OrderAnswer::Stale;
         if (old.epoch != NoEpoch && old.epoch != order.epoch) {
-            const Membership& lead = hosts_.at(host.list.front()).report.membership;
+            const Membership& lead = hosts_.at(host.group_members.front()).report.membership;
             if (lead.epoch == old.epoch && lead.state == MemberState::Open)
                 violations_.push_back(text_of(order.endpoint) + " joins " + order.group +
                                       " while the lead of " + old.group + " serves");
         }
         ++host.taken;
-        host.list = order.members;
+        host.group_members = order.members;
         const auto rank = std::find(order.members.begin(), order.members.end(), order.endpoint);
         host.report.membership = {order.group, order.epoch,
                                   static_cast<std::uint32_t>(rank - order.members.begin()),
                                   MemberState::Joining};
         host.ready_at = now_ + milliseconds(200);
         host.open_at = {};
-        tell(host);
+        send_report(host);
         return OrderAnswer::Taken;
     }
 
     Time now_{seconds(100)};
     std::minstd_rand random_;
-    Duration most_late_;
+    Duration max_delay_;
     std::map<EndpointId, Host> hosts_;
     Control old_{true};
     Control newer_{false};
-    Control* elected_ = &old_; // whose entries the log takes
+    Control* elected_ = &old_; // the leader whose entries can be committed
     PlannedGroups log_;
     std::vector<std::shared_ptr<Proposal>> proposals_;
     std::multimap<Time, std::function<void()>> pending_;
     std::vector<std::string> violations_;
 };
 
-RC_GTEST_PROP(TakeoverOfHosts, NoHostIsTakenFromAGroupThatServes, ()) {
+RC_GTEST_PROP(Takeover, NoHostLeavesAServingGroupForAnother, ()) {
     const auto seed = *rc::gen::inRange<std::uint32_t>(1, 1u << 30);
-    const auto most_late = milliseconds(*rc::gen::inRange(1, 4000));
-    World world(seed, most_late);
-    world.run(seconds(4));
+    const auto max_delay = milliseconds(*rc::gen::inRange(1, 4000));
+    Simulation sim(seed, max_delay);
+    sim.run(seconds(4));
     for (int round = 0; round < 3; ++round) {
-        world.end_some_group();
-        world.run(milliseconds(*rc::gen::inRange(0, 1500)));
+        sim.end_one_group();
+        sim.run(milliseconds(*rc::gen::inRange(0, 1500)));
     }
-    world.elect();
+    sim.elect();
     for (int round = 0; round < 4; ++round) {
-        world.run(milliseconds(*rc::gen::inRange(0, 2500)));
-        world.end_some_group();
+        sim.run(milliseconds(*rc::gen::inRange(0, 2500)));
+        sim.end_one_group();
     }
-    world.depose();
-    world.run(seconds(4));
-    if (!world.violations().empty())
-        RC_FAIL(world.violations().front());
+    sim.depose();
+    sim.run(seconds(4));
+    if (!sim.violations().empty())
+        RC_FAIL(sim.violations().front());
 }
 
-// What is safe must go on: words and orders that are on time bring all groups back.
-TEST(TakeoverOfHosts, ANewLeaderPutsAllGroupsTogetherAgain) {
-    World world(5, milliseconds(2));
-    world.run(seconds(6));
-    EXPECT_EQ(world.open(), 4u);
-    world.depose();
-    world.elect();
+// Liveness: with reports and orders on time, all groups serve again.
+TEST(Takeover, ANewLeaderFormsAllGroupsAgain) {
+    Simulation sim(5, milliseconds(2));
+    sim.run(seconds(6));
+    EXPECT_EQ(sim.open(), 4u);
+    sim.depose();
+    sim.elect();
     for (int round = 0; round < 3; ++round) {
-        world.end_some_group();
-        world.run(seconds(4));
-        EXPECT_EQ(world.open(), 4u);
+        sim.end_one_group();
+        sim.run(seconds(4));
+        EXPECT_EQ(sim.open(), 4u);
     }
-    EXPECT_TRUE(world.violations().empty());
+    EXPECT_TRUE(sim.violations().empty());
 }
 
 } // namespace
