--- a/src/process/firstlayout.cpp
+++ b/src/process/firstlayout.cpp
@@ -45,16 +45,16 @@
 // Adds whole groups of the model that lacks the most hosts until the domain is full.
 void fill(DomainPlan& domain, const std::vector<ModelShape>& models,
           std::map<std::string, double>& wanted) {
-    std::size_t left = domain.hosts.size();
-    while (left > 0) {
+    std::size_t unassigned = domain.hosts.size();
+    while (unassigned > 0) {
         const ModelShape& model = most_wanted_model(models, wanted);
         const std::size_t size = std::max<std::size_t>(1, model.size);
         const auto groups = std::max<std::size_t>(
             1, static_cast<std::size_t>(std::lround(wanted.at(model.name) / size)));
-        const std::size_t taken = std::min(left, groups * size);
+        const std::size_t taken = std::min(unassigned, groups * size);
         domain.quota[model.name] += taken;
         wanted[model.name] -= static_cast<double>(taken);
-        left -= taken;
+        unassigned -= taken;
     }
 }
 
--- a/src/process/groupcontroller.cpp
+++ b/src/process/groupcontroller.cpp
@@ -1,4 +1,4 @@
-// Passes reports, leadership and committed changes to the group planners, and their orders on.
+// Passes reports, leadership and committed changes to the group planners, and queues their orders.
 
 #include "process/groupcontroller.h"
 
@@ -13,7 +13,7 @@
 
 void GroupController::configure(const std::string& service, const EngineCost& engine,
                                 const State& state, const Registry& registry, Time now) {
-    const auto [planner, is_new] = planners_.try_emplace(service, service, bounds_, first_start_);
+    const auto [planner, is_new] = planners_.try_emplace(service, service, config_, first_start_);
     planner->second.configure(engine);
     if (!is_new)
         return;
--- a/src/process/groupcontroller.h
+++ b/src/process/groupcontroller.h
@@ -36,8 +36,8 @@
         auto operator<=>(const Probe&) const = default;
     };
 
-    GroupController(GroupPlannerConfig bounds, bool first_start)
-        : bounds_(bounds), first_start_(first_start) {}
+    GroupController(GroupPlannerConfig config, bool first_start)
+        : config_(config), first_start_(first_start) {}
 
     // Sets the operators' cost model of the service's engine. A new planner first receives all
     // registered endpoints and the leadership.
@@ -87,7 +87,7 @@
     void enqueue(const std::string& service, const std::vector<EndpointOrder>& orders);
     GroupPlanner* planner_of(const std::string& service);
 
-    GroupPlannerConfig bounds_;
+    GroupPlannerConfig config_;
     bool first_start_;
     std::optional<Leadership> leadership_;
     std::map<std::string, GroupPlanner> planners_; // by service
--- a/src/process/groupformation.cpp
+++ b/src/process/groupformation.cpp
@@ -178,7 +178,7 @@
     }
     const auto slowdown = static_cast<int>(known_hosts_ / std::max(1u, engine_.loads_at_once) + 1);
     group.expected_ready =
-        now + (longest == model.load ? longest * slowdown : longest) + bounds_.heartbeat_interval;
+        now + (longest == model.load ? longest * slowdown : longest) + config_.heartbeat_interval;
     for (const EndpointReport* report : hosts) {
         if (!staged(*report, model.name))
             loads_.begun(now);
--- a/src/process/groupplanner.cpp
+++ b/src/process/groupplanner.cpp
@@ -24,13 +24,13 @@
 
 } // namespace
 
-GroupPlanner::GroupPlanner(std::string service, GroupPlannerConfig bounds, bool first_start)
-    : service_(std::move(service)), bounds_(bounds), traffic_started_(!first_start) {}
+GroupPlanner::GroupPlanner(std::string service, GroupPlannerConfig config, bool first_start)
+    : service_(std::move(service)), config_(config), traffic_started_(!first_start) {}
 
 void GroupPlanner::configure(const EngineCost& engine) {
     engine_ = engine;
     configured_ = true;
-    loads_.configure(engine.loads_per_second, bounds_.load_window);
+    loads_.configure(engine.loads_per_second, config_.load_window);
 }
 
 const ModelShape* GroupPlanner::shape(const std::string& model) const {
@@ -222,7 +222,7 @@
         item->last_contact < host->second.unresponsive_until - UnresponsivePeriod)
         return false;
     return now - item->last_contact <
-           MissedHeartbeats * bounds_.heartbeat_interval + HeartbeatSlack;
+           MissedHeartbeats * config_.heartbeat_interval + HeartbeatSlack;
 }
 
 // The member is not in the group, and no order in flight can bring it back: it has confirmed that
--- a/src/process/groupplanner.h
+++ b/src/process/groupplanner.h
@@ -51,7 +51,7 @@
 // passed in.
 class GroupPlanner {
   public:
-    GroupPlanner(std::string service, GroupPlannerConfig bounds, bool first_start);
+    GroupPlanner(std::string service, GroupPlannerConfig config, bool first_start);
 
     // Sets the operators' cost model of the engine. Nothing is planned before the first call.
     void configure(const EngineCost& engine);
@@ -227,7 +227,7 @@
     static constexpr unsigned CounterBits = 20;
 
     std::string service_;
-    GroupPlannerConfig bounds_;
+    GroupPlannerConfig config_;
     EngineCost engine_;
     bool configured_ = false;
     // Requests may be absent only in the first run of the whole deployment. A control host that
--- a/src/process/groupprogress.cpp
+++ b/src/process/groupprogress.cpp
@@ -96,14 +96,14 @@
     const EndpointReport* lead = group.members.empty() ? nullptr : report_of(group.members.front());
     const bool is_member = lead != nullptr && lead->membership.epoch == group.epoch;
     const Duration timeout =
-        is_member ? engine_.open_delay + OrderRoundTrip : 2 * bounds_.heartbeat_interval;
+        is_member ? engine_.open_delay + OrderRoundTrip : 2 * config_.heartbeat_interval;
     if ((lead != nullptr && has_left(group, lead->id)) || now - took_over_ > timeout)
         dissolve(group, "formed by another leader", now);
 }
 
 void GroupPlanner::open(Group& group, const EndpointReport& lead, Time now) {
     group.may_have_opened = true;
-    group.open_retry_due = now + engine_.open_delay + bounds_.heartbeat_interval;
+    group.open_retry_due = now + engine_.open_delay + config_.heartbeat_interval;
     order(OrderKind::Open, lead, &group);
     add_event("opening", group.name, lead.id, "all members are ready");
 }
--- a/src/process/placement.h
+++ b/src/process/placement.h
@@ -18,6 +18,8 @@
 
 namespace liftweir {
 
+// Priced chooses the cheapest repair, Rebuild never waits for a missing host, and Wait never loads
+// weights to repair a group.
 enum class PlacementPolicy : std::uint8_t { Priced, Rebuild, Wait };
 
 // A model that the settings of a site ask for.
@@ -45,7 +47,14 @@
 
 PlacementSettings placement_settings(const SiteSettings& settings);
 
-enum class Repair : std::uint8_t { Wait, Replace, Move, Merge, Leave };
+// What happens to a broken group.
+enum class Repair : std::uint8_t {
+    Wait,    // for its missing hosts
+    Replace, // the missing hosts by spares of the domain
+    Move,    // to a new group in another domain
+    Merge,   // with the survivors of another broken group
+    Leave    // dissolved without a replacement
+};
 
 std::string_view name_of(Repair repair);
 
@@ -59,6 +68,7 @@
     double price = 0;
 };
 
+// The priced choices for a broken group.
 struct RepairDecision {
     Epoch group = NoEpoch;
     std::vector<RepairChoice> choices; // cheapest first
--- a/src/process/shard.cpp
+++ b/src/process/shard.cpp
@@ -19,6 +19,7 @@
 constexpr std::uint32_t StreamWindowBytes = 128 * 1024;
 // After a refusal no requests go to the endpoint until its gate may have changed.
 constexpr Duration RefusalBackoff = std::chrono::milliseconds(200);
+// When rejected callers should retry.
 constexpr Duration RetryAfter = std::chrono::milliseconds(500);
 // How often a draining host looks for connections that it can close.
 constexpr Duration SweepInterval = std::chrono::milliseconds(25);
@@ -327,10 +328,10 @@
     const auto dialer = dialers_.find(action.place.address);
     if (dialer != dialers_.end() && dialer->second->send(attempt))
         return;
-    // The request never left this process, so this counts as a refusal.
+    // The request was not sent, so this counts as a refusal by the agent.
     asio::post(io_, [this, id = action.id] {
         if (ActiveCall* a = find(id.sequence)) {
-            note_end(id, 0, 0);
+            record_end(id, 0, 0);
             run_actions(*a, a->call->on_refused(Refused{id, FailureKind::NoEndpoint, 0, 0, 0},
                                                 BootClock::now()));
         }
@@ -493,7 +494,7 @@
         apply(rule.targets);
 }
 
-void Shard::note_end(const AttemptId& id, std::uint32_t running, std::uint32_t waiting) {
+void Shard::record_end(const AttemptId& id, std::uint32_t running, std::uint32_t waiting) {
     ActiveCall* active = find(id.sequence);
     if (active == nullptr)
         return;
@@ -531,7 +532,7 @@
     } else if (const auto* head = std::get_if<Head>(&message)) {
         with(head->id, [&](ActiveCall& a) { return a.call->on_head(*head, now); });
     } else if (const auto* end = std::get_if<End>(&message)) {
-        note_end(end->id, end->running, end->waiting);
+        record_end(end->id, end->running, end->waiting);
         with(end->id, [&](ActiveCall& a) { return a.call->on_end(*end, now); });
     } else if (const auto* refused = std::get_if<Refused>(&message)) {
         if (ActiveCall* active = find(refused->id.sequence)) {
@@ -542,10 +543,10 @@
                 sent->second.stats->closed_until.store(
                     (now + RefusalBackoff).time_since_epoch().count());
         }
-        note_end(refused->id, refused->running, refused->waiting);
+        record_end(refused->id, refused->running, refused->waiting);
         with(refused->id, [&](ActiveCall& a) { return a.call->on_refused(*refused, now); });
     } else if (const auto* broken = std::get_if<Broken>(&message)) {
-        note_end(broken->id, 0, 0);
+        record_end(broken->id, 0, 0);
         with(broken->id, [&](ActiveCall& a) { return a.call->on_broken(*broken, now); });
     }
 }
@@ -570,7 +571,7 @@
             if (sent.address == address)
                 lost.push_back(id);
         for (const AttemptId& id : lost)
-            note_end(id, 0, 0);
+            record_end(id, 0, 0);
         run_actions(*active, active->call->on_link_lost(address, BootClock::now()));
     }
 }
--- a/src/process/shard.h
+++ b/src/process/shard.h
@@ -82,7 +82,7 @@
     void perform(ActiveCall& active, FailCall& action);
     void arm_timer(ActiveCall& active);
     void finish(std::uint64_t sequence);
-    void note_end(const AttemptId& id, std::uint32_t running, std::uint32_t waiting);
+    void record_end(const AttemptId& id, std::uint32_t running, std::uint32_t waiting);
     ActiveCall* find(std::uint64_t sequence);
 
     void sweep_draining();
