--- a/src/process/groupformation.cpp
+++ b/src/process/groupformation.cpp
@@ -366,7 +366,7 @@
         if (model == nullptr || model->size == 1 || forming ||
             hosts_[report->id].warm == model->name)
             continue;
-        form(*model, {report}, "spare host", now);
+        form(*model, {report}, "spare", now);
     }
 }
 
--- a/src/process/groupprogress.cpp
+++ b/src/process/groupprogress.cpp
@@ -77,7 +77,7 @@
                     report->membership.state == MemberState::Ready;
     }
     if (all_ready && group.warm_up) {
-        dissolve(group, "warm-up is complete", now);
+        dissolve(group, "warm", now);
         return;
     }
     const EndpointReport* lead = group.members.empty() ? nullptr : report_of(group.members.front());
