--- a/src/request/call.h
+++ b/src/request/call.h
@@ -1,3 +1,6 @@
+// One request of a caller to liftweir-entry, as a state machine without I/O: claim, attempts,
+// hedge, retries and the final answer.
+
 #ifndef CALL_H_INCLUDED
 #define CALL_H_INCLUDED
 
@@ -12,7 +15,7 @@
 
 namespace liftweir {
 
-// What a caller asked for, with what the settings say about it.
+// A caller's request, with the settings that apply to it.
 struct CallSpec {
     std::uint64_t sequence = 0;
     Incarnation entry = 0;
@@ -36,9 +39,9 @@
     std::size_t answer_bytes = 16384;
 };
 
-// An endpoint for one attempt.
+// The endpoint that was picked for one attempt.
 struct Place {
-    std::uint64_t id = 0; // names the endpoint towards the EndpointPicker
+    std::uint64_t id = 0; // identifies the endpoint to the EndpointPicker
     HostName host;
     Incarnation incarnation = 0;
     Epoch epoch = NoEpoch;
@@ -46,19 +49,20 @@
     std::string version; // of the model
 };
 
-// What a call asks of its surroundings. Implemented by the entry host, and by tests.
+// Picks endpoints for a call. Implemented by the entry host and by tests.
 class EndpointPicker {
   public:
     virtual ~EndpointPicker() = default;
-    // Places in `avoid` have failed this call. A resumed stream needs the same model version.
+    // Endpoints in `avoid` have failed this call. A resumed stream needs the same model version.
     virtual std::optional<Place> place(const CallSpec& spec,
                                        const std::vector<std::uint64_t>& avoid, bool must_resume,
                                        const std::string& version, Time now) = 0;
     virtual bool take_retry() = 0;
-    // Earliest time at which an endpoint may be ready again, for Retry-After.
+    // Shortest time until an endpoint may be ready again, for Retry-After.
     virtual Duration retry_after() const = 0;
 };
 
+// Actions that a call asks of the entry host: messages to agents and to control.
 struct SendAttempt {
     Place place;
     AttemptId id;
@@ -81,7 +85,7 @@
 struct SendDropClaim {
     AttemptId id;
 };
-// Answers to the caller.
+// Actions that answer the caller.
 struct BeginStream {
     int status = 200;
     std::string content_type;
@@ -95,7 +99,7 @@
     Answer answer;
     bool replayed = false;
 };
-// Before the stream began; or as the last event of a stream that did.
+// An error response or, if the stream has begun, the stream's last event.
 struct FailCall {
     Failure failure;
     Outcome outcome = Outcome::NotRun;
@@ -107,13 +111,13 @@
                                 BeginStream, StreamBytes, EndStream, WholeAnswer, FailCall>;
 using CallActions = std::vector<CallAction>;
 
-// One request from its arrival to its answer, as a plain state machine. It tells "not run" only
-// where every attempt was refused or never left, and never sends a second attempt of what may
-// not be repeated unless the first was refused. What was lost together with its group is sent to
-// one more group at most, and to none where it looks as if the request ended the first.
+// One request from its arrival to its answer. The outcome is "not run" only if every attempt was
+// refused or never sent. A request that is not repeatable gets a second attempt only if the first
+// was refused. After its group was lost, a request is sent to one more group at most, and to none
+// if the request is suspected of having crashed the first.
 class Call {
   public:
-    Call(CallSpec spec, EndpointPicker& placer) : spec_(std::move(spec)), placer_(placer) {}
+    Call(CallSpec spec, EndpointPicker& picker) : spec_(std::move(spec)), picker_(picker) {}
 
     CallActions start(Time now);
     CallActions on_claim(const CommandReply& reply, Time now);
@@ -122,27 +126,27 @@
     CallActions on_chunk(const Chunk& chunk, Time now);
     CallActions on_end(const End& end, Time now);
     CallActions on_broken(const Broken& broken, Time now);
-    // The link to an agent is lost: what was sent over it may have run.
+    // The link to an agent is lost: the attempts sent over it may have run.
     CallActions on_link_lost(const std::string& address, Time now);
     CallActions on_timer(Time now);
     CallActions on_caller_gone(Time now);
 
-    // When on_timer wants to be called next.
+    // When on_timer should be called next.
     Time next_timer() const;
     bool done() const { return done_; }
     const CallSpec& spec() const { return spec_; }
     std::uint32_t tokens() const { return tokens_; }
-    std::uint32_t attempts_sent() const { return attempts_; }
+    std::uint32_t attempts_sent() const { return attempts_started_; }
 
   private:
-    struct Live {
+    struct RunningAttempt {
         AttemptId id;
         Place place;
         std::uint32_t next_chunk = 0;
         std::uint64_t bytes = 0;
         std::uint32_t resumed_at = 0;
         std::optional<Head> head;
-        std::string body; // of an answer that is not streamed
+        std::string body; // of a response that is not streamed
     };
 
     void send_attempt(Time now, CallActions& out);
@@ -150,28 +154,28 @@
     void retry_or_give_up(FailureKind kind, bool may_have_run, Time now, CallActions& out);
     void on_loss(bool suspect, Time now, CallActions& out);
     void finish_claim(Outcome outcome, CallActions& out);
-    void finish_whole(Live& live, CallActions& out);
-    void make_winner(const AttemptId& id, CallActions& out);
-    Live* find(const AttemptId& id);
+    void complete(RunningAttempt& attempt, CallActions& out);
+    void keep_only(const AttemptId& id, CallActions& out);
+    RunningAttempt* find(const AttemptId& id);
     void drop(const AttemptId& id);
-    bool claims() const { return !spec_.repeatable && !spec_.idempotency_key.empty(); }
+    bool needs_claim() const { return !spec_.repeatable && !spec_.idempotency_key.empty(); }
     AttemptId claim_id() const { return {spec_.entry, spec_.sequence, 0}; }
 
     CallSpec spec_;
-    EndpointPicker& placer_;
-    std::vector<Live> live_;
+    EndpointPicker& picker_;
+    std::vector<RunningAttempt> running_;
     std::vector<std::uint64_t> avoid_;
-    std::string version_; // model version of the stream that began
-    std::uint32_t attempts_ = 0;
+    std::string version_; // model version that began the stream
+    std::uint32_t attempts_started_ = 0;
     std::uint32_t refusals_ = 0;
-    std::uint32_t losses_ = 0; // groups that were lost while they had the request
-    std::uint32_t tokens_ = 0; // delivered to the caller
-    Duration refused_for_{};   // longest Retry-After of a refusal
-    FailureKind refused_as_ = FailureKind::NoEndpoint;
+    std::uint32_t groups_lost_ = 0; // groups that were lost while they had the request
+    std::uint32_t tokens_ = 0;      // delivered to the caller
+    Duration max_retry_after_{};    // longest Retry-After of all refusals
+    FailureKind refusal_reason_ = FailureKind::NoEndpoint;
     bool claiming_ = false;
     bool claimed_ = false;
-    bool streaming_ = false;    // the caller has the head
-    bool delivered_ = false;    // the caller has bytes of the answer
+    bool streaming_ = false;    // the caller has the response head
+    bool delivered_ = false;    // the caller has bytes of the response
     bool may_have_run_ = false; // an attempt ended without proof that it did not run
     bool hedged_ = false;
     bool done_ = false;
--- a/src/request/callerapi.cpp
+++ b/src/request/callerapi.cpp
@@ -1,3 +1,5 @@
+// Parsing of callers' requests to models and to plain services.
+
 #include "request/callerapi.h"
 
 #include "connection/secret.h"
@@ -13,10 +15,11 @@
 namespace {
 
 constexpr std::string_view ServicePrefix = "/services/";
-// Of a model and its adapter; longer ones are no names.
-constexpr std::size_t MostModelBytes = 256;
+// Longest name of a model together with its adapter.
+constexpr std::size_t MaxModelNameBytes = 256;
 
-// A caller may ask for less time than the settings allow, never for more. The header was checked.
+// A caller may ask for less time than the settings allow, but not for more. The header's format
+// was checked before.
 Time deadline_of(const HttpExchange& exchange, Duration allowed, Time now) {
     const std::string header = exchange.header("Liftweir-Deadline-Ms");
     if (header.empty())
@@ -43,9 +46,9 @@
         return fail(FailureKind::BadRequest,
                     body ? "the body is not an object" : body.error().detail);
     if (!(*body)["model"].isString() || (*body)["model"].asString().empty() ||
-        (*body)["model"].asString().size() > MostModelBytes)
-        return fail(FailureKind::BadRequest,
-                    "model: allowed is text of 1 to " + std::to_string(MostModelBytes) + " bytes");
+        (*body)["model"].asString().size() > MaxModelNameBytes)
+        return fail(FailureKind::BadRequest, "model: allowed is text of 1 to " +
+                                                 std::to_string(MaxModelNameBytes) + " bytes");
     const std::string named = (*body)["model"].asString();
     const auto colon = named.find(':');
     const auto route = table.models.find(named.substr(0, colon));
@@ -89,7 +92,7 @@
     out.spec.path = slash == rest.size() ? "/" : std::string(rest.substr(slash));
     if (!exchange.query().empty())
         out.spec.path += "?" + std::string(exchange.query());
-    // GET and HEAD may be repeated by their own definition.
+    // HTTP defines GET and HEAD as safe to repeat.
     out.spec.repeatable =
         rule->second.repeatable || exchange.method() == "GET" || exchange.method() == "HEAD";
     out.spec.deadline = deadline_of(exchange, rule->second.deadline, now);
--- a/src/request/callerapi.h
+++ b/src/request/callerapi.h
@@ -1,3 +1,5 @@
+// Parses the HTTP requests that callers send to liftweir-entry.
+
 #ifndef CALLERAPI_H_INCLUDED
 #define CALLERAPI_H_INCLUDED
 
@@ -9,18 +11,18 @@
 
 namespace liftweir {
 
-// A caller's request as the table understands it.
+// A caller's request, resolved against the table of routes.
 struct ParsedCall {
     CallSpec spec;
     TrafficClass traffic_class;
-    std::uint32_t slots = 0; // calls in flight at one endpoint of a plain service
+    std::uint32_t slots = 0; // maximum of calls in flight at one endpoint of a plain service
 };
 
-// Reads an OpenAI-style request, or one to a plain service at /services/NAME/... Fails with
-// BadRequest, NotFound or Overloaded (a body over its bound).
+// Parses an OpenAI-style request, or one to a plain service at /services/NAME/... Fails with
+// BadRequest or NotFound.
 Expected<ParsedCall> parse_call(const HttpExchange& exchange, const Table& table, Time now);
 
-// Answer to GET /v1/models: the models of this site and whether each has a ready group.
+// Body of the response to GET /v1/models: the site's models and whether each has a ready group.
 std::string models_body(const Table& table);
 
 } // namespace liftweir
--- a/src/request/callerprotocol.cpp
+++ b/src/request/callerprotocol.cpp
@@ -1,3 +1,5 @@
+// Names of the faults of numbers in response headers.
+
 #include "request/callerprotocol.h"
 
 namespace liftweir {
--- a/src/request/callerprotocol.h
+++ b/src/request/callerprotocol.h
@@ -1,3 +1,5 @@
+// The translation between a deployment's HTTP headers and what liftweir-site-entry needs of them.
+
 #ifndef CALLERPROTOCOL_H_INCLUDED
 #define CALLERPROTOCOL_H_INCLUDED
 
@@ -13,61 +15,62 @@
 
 namespace liftweir {
 
-// What a caller's request asks for, whatever its headers are called.
+// A caller's request, independent of the header names of the deployment.
 struct CallerRequest {
-    std::string id; // the caller's own, one for each attempt; empty where it gave none
+    std::string id; // given by the caller, a new one for each attempt; empty if it gave none
     std::string host;
     std::string path;
-    std::optional<std::string> key;     // of a customer
+    std::optional<std::string> key;     // the customer's API key
     std::optional<Duration> time_limit; // how long the caller will wait from now
     std::string model;                  // empty for plain services
     std::uint32_t prompt_tokens = 0;
-    std::string last_event; // the caller resumes a stream behind this event
+    std::string last_event; // the caller resumes a stream after this event
     bool wellformed = true;
 
     auto operator<=>(const CallerRequest&) const = default;
 };
 
-// What an entry host adds to a request that it passes on.
+// What an entry host adds to a request that it forwards.
 struct ForwardedFields {
     EndpointId endpoint;
-    std::string customer; // empty where the route needs no key
+    std::string customer; // empty if the route needs no key
     Duration time_left{};
     std::string last_event;    // empty: from the beginning
-    bool low_priority = false; // requests that may still be in time go first
+    bool low_priority = false; // requests that can still meet their goal take precedence
 
     auto operator<=>(const ForwardedFields&) const = default;
 };
 
-// What is wrong with a number that an endpoint's answer names.
+// What is wrong with a number in a header of an endpoint's response.
 enum class NumberFault : std::uint8_t {
     None,
     Repeated,   // more than one value
-    Unreadable, // no decimal number
+    Unreadable, // not a decimal number
     OutOfRange
 };
 
-// The fault's word in the log and in metrics.
+// Name of the fault in the process log and in metrics.
 std::string_view name_of(NumberFault fault);
 
-// What the head of an endpoint's answer says beyond its status.
+// What the head of an endpoint's response says beyond its status.
 struct ResponseSignals {
-    bool not_run = false;             // the endpoint promises that it did not run the request
-    bool request_id_mismatch = false; // the answer belongs to another request
+    bool not_run = false;             // the endpoint guarantees that it did not run the request
+    bool request_id_mismatch = false; // the response belongs to another request
     bool misdirected = false;         // another incarnation has the address
-    // Requests a second that the endpoint takes from all entry hosts together; zero where it names
-    // no limit, or a wrong one.
+    // Requests per second that the endpoint accepts from all entry hosts together; zero if it
+    // reports no limit or an invalid one.
     double limit_per_second = 0;
     NumberFault limit_fault = NumberFault::None;
-    // An endpoint that turned the request away wants none of this entry host for so long.
+    // An endpoint that rejected the request accepts none from this entry host for this time.
     Duration backoff{};
     NumberFault backoff_fault = NumberFault::None;
-    bool leaving = false; // the endpoint takes no new work
+    bool leaving = false; // the endpoint is shutting down and accepts no new requests
 
     auto operator<=>(const ResponseSignals&) const = default;
 };
 
-// The callers' and endpoints' dialect of HTTP. Translates; decides nothing.
+// The header names and formats that callers and endpoints use. Translates only, and makes no
+// decisions.
 class CallerProtocol {
   public:
     virtual ~CallerProtocol() = default;
@@ -76,7 +79,7 @@
                                     const ForwardedFields& note) const = 0;
     virtual ResponseSignals parse_response(const HttpResponseHead& head,
                                            const CallerRequest& request) const = 0;
-    // Headers of an answer that liftweir gives itself; `retry_after` zero where it names none.
+    // Headers of a response that liftweir itself gives; a `retry_after` of zero adds no header.
     virtual HttpHeaders own_answer_headers(const CallerRequest& request,
                                            Duration retry_after) const = 0;
 };
--- a/src/request/callerwait.cpp
+++ b/src/request/callerwait.cpp
@@ -1,3 +1,5 @@
+// Estimate of how long callers have been waiting since their first attempts.
+
 #include "request/callerwait.h"
 
 #include <algorithm>
@@ -7,45 +9,49 @@
 
 namespace {
 
-// Long enough for a few hundred calls, short enough to follow callers that change.
+// Long enough for a few hundred calls, short enough to follow changes of the callers.
 constexpr Duration WindowLength = std::chrono::seconds(10);
-// Fewer calls than this say nothing about the others: a window goes on until it has as many.
-constexpr std::uint32_t EnoughCalls = 20;
-// Callers count their time down in steps, and a request takes some of it on its way.
+// Fewer calls than this are no basis for an estimate: a window lasts until it has this many.
+constexpr std::uint32_t MinCalls = 20;
+// Limits within this factor count as equal: callers count their time down in steps, and the
+// transport of a request takes some of it.
 constexpr double Tolerance = 0.97;
-// A shorter limit than this part of the others' is a caller of another kind, not a later try.
-constexpr double LeastPart = 0.4;
-// Where fewer callers than this name the longest limit, they have limits of their own.
-constexpr double LeastWhole = 0.3;
+// A limit below this part of the longest one belongs to another kind of caller, not to a later
+// attempt.
+constexpr double MinPartOfLimit = 0.4;
+// If fewer callers than this part state the longest limit, the callers have different limits and
+// nothing can be concluded.
+constexpr double MinFullPart = 0.3;
 
 } // namespace
 
-// Whoever would have come back sooner than anyone is told to has not been here before. The longest
-// limit grows while the first calls come in, so that "whole" is an estimate.
-void CallerWaitEstimator::count(Window& window, Duration patience) {
+// The longest limit grows while the first calls arrive, so the count of full limits is an estimate.
+void CallerWaitEstimator::count(Window& window, Duration time_limit) {
     ++window.total;
-    if (patience > window.longest)
-        window.longest = patience;
-    if (patience >= scaled(window.longest, Tolerance))
-        ++window.whole;
+    if (time_limit > window.longest)
+        window.longest = time_limit;
+    if (time_limit >= scaled(window.longest, Tolerance))
+        ++window.full;
 }
 
-Duration CallerWaitEstimator::waited(const std::string& route, Duration patience, Duration timeout,
-                                     Time now) {
+// A caller whose limit is short by less than MinRetryDelay is at its first attempt: no rejection
+// asks for a return sooner than that.
+Duration CallerWaitEstimator::waited(const std::string& route, Duration time_limit,
+                                     Duration timeout, Time now) {
     RouteWindows& windows = routes_[route];
-    if (now - windows.begun > WindowLength && windows.now.total >= EnoughCalls) {
+    if (now - windows.started > WindowLength && windows.now.total >= MinCalls) {
         windows.before = std::exchange(windows.now, {});
-        windows.begun = now;
+        windows.started = now;
     }
-    count(windows.now, patience);
+    count(windows.now, time_limit);
     const Window& before = windows.before;
-    const bool known = before.total >= EnoughCalls;
-    if (known && before.whole < LeastWhole * before.total)
+    const bool known = before.total >= MinCalls;
+    if (known && before.full < MinFullPart * before.total)
         return Duration::zero();
     const Duration limit = known ? std::max(before.longest, windows.now.longest) : timeout;
-    if (limit - patience < SoonestReturn || patience < scaled(limit, LeastPart))
+    if (limit - time_limit < MinRetryDelay || time_limit < scaled(limit, MinPartOfLimit))
         return Duration::zero();
-    return limit - patience;
+    return limit - time_limit;
 }
 
 } // namespace liftweir
--- a/src/request/callerwait.h
+++ b/src/request/callerwait.h
@@ -1,3 +1,6 @@
+// Estimates from callers' time limits how long each caller has been waiting since its first
+// attempt.
+
 #ifndef CALLERWAIT_H_INCLUDED
 #define CALLERWAIT_H_INCLUDED
 
@@ -9,31 +12,31 @@
 
 namespace liftweir {
 
-// Tells how long a caller had been waiting before its request came here. A caller's first try
-// names its whole time limit, a later one what is left of it; so on a route whose callers mostly
-// have one limit, whoever names less has tried before. Pure.
+// A caller's first attempt states its full time limit, and a later one the remainder. So on a route
+// whose callers mostly have the same limit, a request with a shorter one is a later attempt. Pure:
+// no I/O and no clock of its own.
 class CallerWaitEstimator {
   public:
-    // Nobody who was refused here, and comes back as told, has waited for less.
-    static constexpr Duration SoonestReturn = std::chrono::milliseconds(1000);
+    // Shortest Retry-After of a rejection: a caller that returns as requested has waited longer.
+    static constexpr Duration MinRetryDelay = std::chrono::milliseconds(1000);
 
-    // Zero where nothing can be told. `timeout` is the route's, believed to be the callers' limit
-    // until enough of them were seen.
-    Duration waited(const std::string& route, Duration patience, Duration timeout, Time now);
+    // How long the caller has been waiting; zero if unknown. The route's `timeout` is taken for the
+    // callers' limit until enough calls were counted.
+    Duration waited(const std::string& route, Duration time_limit, Duration timeout, Time now);
 
   private:
     struct Window {
         Duration longest{};
         std::uint32_t total = 0;
-        std::uint32_t whole = 0; // within Tolerance of the longest
+        std::uint32_t full = 0; // calls within Tolerance of the longest limit
     };
     struct RouteWindows {
-        Time begun{};
+        Time started{};
         Window now;
         Window before;
     };
 
-    static void count(Window& window, Duration patience);
+    static void count(Window& window, Duration time_limit);
 
     std::map<std::string, RouteWindows> routes_;
 };
--- a/src/request/coldpace.cpp
+++ b/src/request/coldpace.cpp
@@ -1,12 +1,14 @@
+// Request rate towards a cold endpoint.
+
 #include "request/coldpace.h"
 
 namespace liftweir {
 
-// An endpoint that is new has no work, so each entry host would choose it for its next request, and
-// all of them within the same moment.
-bool ColdPace::allows(Duration every, double draw, Time now) {
+// The random start spreads the first requests: a new endpoint has no load, so all entry hosts would
+// choose it for their next request at the same moment.
+bool ColdPace::allows(Duration interval, double draw, Time now) {
     if (due_ == Time{})
-        due_ = now + std::chrono::duration_cast<Duration>(draw * every);
+        due_ = now + std::chrono::duration_cast<Duration>(draw * interval);
     return now >= due_;
 }
 
--- a/src/request/coldpace.h
+++ b/src/request/coldpace.h
@@ -1,3 +1,5 @@
+// Request rate of one entry host towards an endpoint that has just started and is still cold.
+
 #ifndef COLDPACE_H_INCLUDED
 #define COLDPACE_H_INCLUDED
 
@@ -7,19 +9,19 @@
 
 namespace liftweir {
 
-// When this entry host may send the next request to an endpoint that has just started, and bears
-// only so many a second from all entry hosts. They do not ask each other: each keeps a pace of its
-// own, and begins at a moment that chance decides.
+// A cold endpoint can handle only a limited request rate from all entry hosts together. The hosts
+// do not coordinate: each sends at its own share of that rate, beginning at a random moment.
 class ColdPace {
   public:
-    // `every` is the time between two requests of this host; `draw` lies in [0, 1).
-    bool allows(Duration every, double draw, Time now);
-    void sent(Duration every, Time now) { due_ = now + every; }
+    // Whether a request may be sent now. `interval` is the time between two requests of this host,
+    // `draw` a random number in [0, 1).
+    bool allows(Duration interval, double draw, Time now);
+    void sent(Duration interval, Time now) { due_ = now + interval; }
 
     auto operator<=>(const ColdPace&) const = default;
 
   private:
-    Time due_{}; // of the next request; not begun where it is zero
+    Time due_{}; // of the next request; zero before the first call of allows()
 };
 
 } // namespace liftweir
--- a/src/request/directory.h
+++ b/src/request/directory.h
@@ -1,3 +1,6 @@
+// Chooses an endpoint for each request of an entry host whose endpoints register themselves
+// (liftweir-site-entry), by the load, limits and recent failures that this host knows of.
+
 #ifndef DIRECTORY_H_INCLUDED
 #define DIRECTORY_H_INCLUDED
 
@@ -17,65 +20,67 @@
 
 namespace liftweir {
 
-// What this entry host knows of one endpoint beyond its report.
+// What this entry host knows of one endpoint beyond the endpoint's registration report.
 struct EndpointUse {
     GroupLoad load;
     StallDetector watch;
     std::uint32_t in_flight = 0;
-    std::uint32_t failures = 0; // in a row
-    Time avoid_until{};         // failed or stood still lately
-    Time rest_until{};          // wants no request of this host
-    Time leaving_since{};       // by its answers, whatever its report says
+    std::uint32_t failures = 0; // consecutive ones
+    Time avoid_until{};         // after a recent failure or stall
+    Time backoff_until{};       // the endpoint requested back-off until then
+    Time leaving_since{};       // the endpoint announced its shutdown in a response
     ColdPace cold;
 
     bool avoided(Time now) const { return now < avoid_until; }
-    bool rests(Time now) const { return now < rest_until; }
-    bool leaves() const { return leaving_since != Time{}; }
+    bool backs_off(Time now) const { return now < backoff_until; }
+    bool is_leaving() const { return leaving_since != Time{}; }
 
-    // An engine has got a request of this host, which should have its first event after so long.
+    // A request of this host was sent to the engine, whose forward pass takes `pass` at most; its
+    // first event is expected after `first_event`.
     void sent(const EngineDemand& demand, Duration pass, Duration first_event, Time now);
-    // An event came of it; `first` where it was its first one.
+    // The request received an event; `first` if it is its first one.
     void on_event(const EngineDemand& demand, bool first, Time now);
-    // It is over; `wrote` where it had its first event.
-    void ended(const EngineDemand& demand, bool wrote);
+    // The request ended; `had_event` if it had received its first event.
+    void ended(const EngineDemand& demand, bool had_event);
 };
 
-// What a request needs of an endpoint.
+// What a request needs from an endpoint.
 struct Demand {
     const Service* service = nullptr;
     std::string model; // empty for plain services
     EngineDemand engine;
-    Duration latency_goal{}; // for the first event
-    Duration waited{};       // by the caller, until now
+    Duration latency_goal{}; // until the first event
+    Duration waited{};       // how long the caller has been waiting
 };
 
 // Why no endpoint was picked.
 enum class PickFailure : std::uint8_t {
-    NoneServes, // no group or endpoint takes requests now
-    AllFull,    // one more would come too late, or be a connection too many, everywhere
-    AllHeldBack // no endpoint wants another one yet, by its limit or for a rest
+    NoneInService, // no group or endpoint accepts requests now
+    AllFull,       // each would answer too late, or has no free slot or connection
+    AllThrottled   // each is at its rate limit or has requested back-off
 };
 
+// Why and for how long no endpoint can be picked.
 struct NoPick {
-    PickFailure why = PickFailure::NoneServes;
-    EndpointId soonest; // of those held back, the one that takes a request first
+    PickFailure why = PickFailure::NoneInService;
+    EndpointId soonest; // the throttled endpoint that accepts a request first
     Duration wait{};    // until it does
 
     auto operator<=>(const NoPick&) const = default;
     bool operator==(PickFailure failure) const { return why == failure; }
 };
 
-// The endpoint chosen for a request, and what the request should meet there.
+// The endpoint chosen for a request, with the forecast that led to the choice.
 struct Pick {
     EndpointId endpoint;
     std::string address;
-    LoadForecast forecast;   // all zero for plain services
-    Duration longest_pass{}; // of the group's engine
-    Duration first_event{};  // until the first event, by the forecast
-    Duration cold_every{};   // between two requests of this host, while the endpoint is cold
+    LoadForecast forecast;    // all zero for plain services
+    Duration longest_pass{};  // longest forward pass of the group's engine
+    Duration first_event{};   // forecast time until the first event
+    Duration cold_interval{}; // between two requests of this host, while the endpoint is cold
 };
 
-// The endpoints as one entry host sees them, and the choice among them.
+// The endpoints that one entry host knows, and the choice among them.
 class Directory {
   public:
     explicit Directory(std::uint64_t seed) : random_(seed) {}
@@ -84,40 +89,42 @@
     const Registry& registry() const { return registry_; }
     EndpointUse& use(const EndpointId& id) { return uses_[id]; }
     const std::map<EndpointId, EndpointUse>& uses() const { return uses_; }
-    // How many times this host's own work all entry hosts have under way together.
-    void set_fleet_load_ratio(double others) {
-        others_ = others;
-        limits_.set_own_part(1 / others);
+    // Sets the load of all entry hosts together as a multiple of this host's own load.
+    void set_fleet_load_ratio(double ratio) {
+        fleet_load_ratio_ = ratio;
+        limits_.set_own_share(1 / ratio);
     }
     EndpointLimits& limits() { return limits_; }
-    // The endpoint wants no request of this host for so long.
+    // The endpoint requested back-off: it gets no request from this host for that time.
     void back_off(const EndpointId& id, Duration rest, Time now);
-    // The endpoint takes no new work any more. False where that was known.
+    // The endpoint announced its shutdown and accepts no new requests. False if that was known.
     bool note_leaving(const EndpointId& id, Time now);
-    // When a caller that met `none` should return; zero where nothing is known of that. Callers are
-    // told different moments.
-    Duration return_after(const NoPick& none, Time now);
-    // What this host has under way, by group.
+    // Retry-After for a caller whose request found no endpoint; zero where nothing is known. The
+    // delays differ, so that the callers do not return at the same moment.
+    Duration retry_delay(const NoPick& none, Time now);
+    // This host's requests in flight, by group.
     std::vector<GroupLoadReport> own_load() const;
-    // What the other entry hosts had under way a moment ago. Old figures are not used.
-    void set_load_of_others(const std::vector<GroupLoadReport>& shares, Duration every, Time now);
-    // A prompt has left for a group of the model.
+    // Stores the load of the other entry hosts as control reported it; reports are expected once
+    // per `interval`, and outdated ones are ignored.
+    void set_load_of_others(const std::vector<GroupLoadReport>& group_loads, Duration interval,
+                            Time now);
+    // A prompt was sent to a group of the model.
     void note_sent(const std::string& model, std::uint32_t prompt_tokens, Time now) {
         sent_tokens_[model].add(prompt_tokens, now);
     }
-    // Control has given these groups up, whatever their leads said last.
+    // Control dissolved these groups; what their leads reported last no longer counts.
     void dissolve(const std::vector<Epoch>& epochs) {
         dissolved_.insert(epochs.begin(), epochs.end());
     }
-    // Forgets endpoints that are gone and have nothing of this host under way.
+    // Forgets endpoints that the registry has dropped and that have no request of this host.
     void expire(Time now);
 
-    // Endpoints in `tried` are left out.
+    // Picks an endpoint that is not in `tried`.
     tl::expected<Pick, NoPick> pick(const Demand& demand, const std::set<EndpointId>& tried,
                                     Time now);
-    // How many connections this host may have with one endpoint of the service.
+    // How many connections this host may open to one endpoint of the service.
     std::uint32_t connections_allowed(const Service& service) const;
-    // The endpoint failed a request, or took no connection.
+    // The endpoint failed a request or did not accept a connection.
     void failed(const EndpointId& id, Time now);
     void succeeded(const EndpointId& id) { uses_[id].failures = 0; }
 
@@ -127,36 +134,36 @@
     tl::expected<Pick, NoPick> pick_plain(const Demand& demand, const std::set<EndpointId>& tried,
                                           Time now);
 
-    // The model's shape as the lead's group runs it.
+    // The model's cost figures for the lead's group, which may span fabric domains.
     ModelShape shape_at(const EndpointReport& lead, ModelShape shape,
                         const EngineCost& engine) const;
-    // A group that takes the request, and how long it is until one more has its first event and
-    // between events.
+    // A group that admits the request. The level is the mean of the forecast time until the first
+    // event and the forecast time between two events.
     struct Candidate {
         Pick pick;
         double level_ms = 0;
     };
-    // A lead, and what is known of it here.
+    // A lead's registration report, and what this host knows of the lead.
     struct Lead {
         const EndpointReport* report = nullptr;
         EndpointUse* use = nullptr;
     };
     using Leads = std::vector<Lead>;
 
-    // Whether the groups are judged by what the other hosts have there, too.
-    bool counts_others(const Leads& leads, Time now) const;
-    // How long this host waits between two requests to the endpoint; zero where it is not cold.
-    Duration cold_every(const EndpointReport& report, const Service& service) const;
-    // Whether the endpoint may get a request now, by what a cold one bears.
-    bool is_warm_enough(EndpointUse& use, Duration every, Time now);
-    // How long the endpoint wants no request of this host, by its limit or for a rest.
-    Duration held_back(const EndpointId& id, Time now);
-    // Endpoints that were left out, since they want no request yet or for another reason.
-    class LeftOut {
+    // Whether forecasts use the reported load of the other entry hosts.
+    bool uses_load_of_others(const Leads& leads, Time now) const;
+    // Time between two requests of this host to a cold endpoint; zero if it is not cold.
+    Duration cold_interval(const EndpointReport& report, const Service& service) const;
+    // Whether the request rate of a cold endpoint permits a request now.
+    bool cold_pace_allows(EndpointUse& use, Duration interval, Time now);
+    // Time until this host may send to the endpoint, by the endpoint's rate limit and back-off.
+    Duration throttled_for(const EndpointId& id, Time now);
+    // Collects why endpoints were excluded from a choice, to explain a failed one.
+    class Excluded {
       public:
-        void add(const EndpointId& endpoint, Duration held_back);
+        void add(const EndpointId& endpoint, Duration throttled_for);
         void add_full() { any_full_ = true; }
-        // It failed lately, and may serve at any moment.
+        // An endpoint that failed recently may serve again at any moment.
         void add_avoided() { any_avoided_ = true; }
         NoPick no_pick() const;
 
@@ -166,24 +173,24 @@
         EndpointId soonest_;
         Duration wait_{};
     };
-    // Leads of groups of the model that serve, as far as is known, and were not tried.
+    // Leads of groups that serve the model, as far as this host knows, and are not in `tried`.
     Leads serving_leads(const Demand& demand, const std::set<EndpointId>& tried, Time now,
-                        LeftOut& left_out);
-    // What the request would meet at the group.
+                        Excluded& excluded);
+    // Forecast for one more request at the group.
     LoadForecast forecast_at(const Lead& lead, const ModelShape& model, const EngineCost& engine,
                              const EngineDemand& demand, bool with_others) const;
-    const Candidate& lowest_of(const std::vector<Candidate>& candidates);
-    const Candidate& levelling(const std::vector<Candidate>& candidates, const ModelShape& model,
-                               const EngineCost& engine, Time now);
+    const Candidate& choose_lowest(const std::vector<Candidate>& candidates);
+    const Candidate& choose_levelled(const std::vector<Candidate>& candidates,
+                                     const ModelShape& model, const EngineCost& engine, Time now);
 
     Registry registry_{false};
     std::map<EndpointId, EndpointUse> uses_;
     std::minstd_rand random_;
-    double others_ = 1;
-    std::map<Epoch, GroupLoad> others_at_; // what the other hosts have at each group
-    Time others_told_{};
-    Duration others_every_{};
-    std::map<std::string, ArrivalRate> sent_tokens_; // prompt tokens that left here, by model
+    double fleet_load_ratio_ = 1;
+    std::map<Epoch, GroupLoad> load_of_others_; // of the other entry hosts, by group
+    Time load_of_others_received_{};
+    Duration load_report_interval_{};
+    std::map<std::string, ArrivalRate> sent_tokens_; // prompt tokens that this host sent, by model
     std::set<Epoch> dissolved_;
     EndpointLimits limits_;
 };
--- a/src/request/endpointlimits.cpp
+++ b/src/request/endpointlimits.cpp
@@ -1,3 +1,5 @@
+// Token buckets for endpoints that report a rate limit.
+
 #include "request/endpointlimits.h"
 
 #include <algorithm>
@@ -6,20 +8,21 @@
 
 namespace {
 
-// What was not used may be sent later, up to what comes together in so many seconds, and to this
-// many requests where that is less.
+// Unused tokens accumulate up to the rate times BurstSeconds, and at least up to MinBurst requests.
 constexpr double BurstSeconds = 1.5;
-constexpr double LeastBurst = 1.5;
-static_assert(LeastBurst <= 2 * LeastSharePerSecond);
-// Without a lender, entry hosts that have lost touch and others that have not must not add up to
-// much more than the limit.
-constexpr double UnlentPart = 0.5;
-// However small a limit is, the endpoint is tried this often: only its answers can end the limit.
-constexpr double LeastPerSecond = 0.1;
-// Callers are told to return within this time; nobody waits for longer.
-constexpr Duration ReturnsWithin = std::chrono::seconds(4);
+constexpr double MinBurst = 1.5;
+static_assert(MinBurst <= 2 * LeastSharePerSecond);
+// Without a valid grant a host uses this part of its last share, or of its share of the load if it
+// never had a grant: hosts with and without a connection to control together must not exceed the
+// limit by much.
+constexpr double UngrantedPart = 0.5;
+// An endpoint gets requests at this rate however small its limit is, since only its responses can
+// lift the limit.
+constexpr double MinPerSecond = 0.1;
+// Longest Retry-After for a limit, since callers do not wait for longer.
+constexpr Duration MaxRetryDelay = std::chrono::seconds(4);
 
-// Rates may be as small as the parts that are lent.
+// The result is capped, since rates may be as small as the granted shares.
 Duration time_for(double requests, double per_second) {
     constexpr double LongestSeconds = 3600;
     const double seconds = std::min(requests / per_second, LongestSeconds);
@@ -39,49 +42,49 @@
 }
 
 double EndpointLimits::rate(const EndpointId& endpoint, const Use& use, Time now) const {
-    const double limit = std::max(book_.limit(endpoint), LeastPerSecond);
+    const double limit = std::max(book_.limit(endpoint), MinPerSecond);
     if (use.until > now)
         return limit * use.part;
-    return limit * UnlentPart * (use.part < 0 ? own_part_ : use.part);
+    return limit * UngrantedPart * (use.part < 0 ? own_share_ : use.part);
 }
 
-EndpointLimits::Use& EndpointLimits::counted_up(const EndpointId& endpoint, Time now) {
+EndpointLimits::Use& EndpointLimits::refilled(const EndpointId& endpoint, Time now) {
     Use& use = uses_[endpoint];
-    if (use.counted == Time{})
-        use.counted = now;
+    if (use.refilled_at == Time{})
+        use.refilled_at = now;
     const double per_second = rate(endpoint, use, now);
-    const double most = std::max(LeastBurst, BurstSeconds * per_second);
-    use.tokens = std::min(most, use.tokens + per_second * to_seconds(now - use.counted));
-    use.counted = now;
+    const double most = std::max(MinBurst, BurstSeconds * per_second);
+    use.tokens = std::min(most, use.tokens + per_second * to_seconds(now - use.refilled_at));
+    use.refilled_at = now;
     return use;
 }
 
 Duration EndpointLimits::wait(const EndpointId& endpoint, Time now) {
     if (book_.empty() || book_.limit(endpoint) <= 0)
         return Duration::zero();
-    const Use& use = counted_up(endpoint, now);
+    const Use& use = refilled(endpoint, now);
     const double per_second = rate(endpoint, use, now);
     if (per_second <= 0)
-        return use.until > now ? use.until - now : ReturnsWithin;
+        return use.until > now ? use.until - now : MaxRetryDelay;
     return use.tokens >= 1 ? Duration::zero() : time_for(1 - use.tokens, per_second);
 }
 
 void EndpointLimits::sent(const EndpointId& endpoint, Time now) {
     if (book_.empty() || book_.limit(endpoint) <= 0)
         return;
-    Use& use = counted_up(endpoint, now);
+    Use& use = refilled(endpoint, now);
     use.tokens = std::max(0.0, use.tokens - 1);
 }
 
-Duration EndpointLimits::return_after(const EndpointId& endpoint, Time now) {
+Duration EndpointLimits::retry_delay(const EndpointId& endpoint, Time now) {
     const Time soonest = now + wait(endpoint, now);
     Use& use = uses_[endpoint];
     const double per_second = rate(endpoint, use, now);
     if (per_second <= 0)
         return soonest - now;
-    const Time next = use.returns + time_for(1, per_second);
-    use.returns = next > now + ReturnsWithin ? soonest : std::max(soonest, next);
-    return use.returns - now;
+    const Time next = use.last_retry + time_for(1, per_second);
+    use.last_retry = next > now + MaxRetryDelay ? soonest : std::max(soonest, next);
+    return use.last_retry - now;
 }
 
 void EndpointLimits::expire(const std::function<bool(const EndpointId&)>& known, Time now) {
--- a/src/request/endpointlimits.h
+++ b/src/request/endpointlimits.h
@@ -1,3 +1,5 @@
+// Enforces one entry host's shares of the rate limits that endpoints report (liftweir-site-entry).
+
 #ifndef ENDPOINTLIMITS_H_INCLUDED
 #define ENDPOINTLIMITS_H_INCLUDED
 
@@ -11,41 +13,42 @@
 
 namespace liftweir {
 
-// When this entry host may send requests to endpoints that name a limit. It knows what it may send
-// before a request comes: by its loans, and by half of what it had where nobody lends. Pure.
+// A token bucket per endpoint that reports a rate limit. Its rate is this host's granted share of
+// the limit, or half of the last share while control grants none. Pure: no I/O and no clock of its
+// own.
 class EndpointLimits {
   public:
     ReportedLimits& book() { return book_; }
     const ReportedLimits& book() const { return book_; }
-    // This host's part of the work of all entry hosts.
-    void set_own_part(double part) { own_part_ = part; }
-    // Control has lent these parts; they end at `until`.
+    // This host's share of the load of all entry hosts.
+    void set_own_share(double part) { own_share_ = part; }
+    // Control granted these shares, which expire at `until`.
     void grant_shares(const std::vector<LimitShare>& limit_shares, Time until);
 
-    // Until a request may go to the endpoint; zero where one may go now.
+    // Time until a request may be sent to the endpoint; zero if one may be sent now.
     Duration wait(const EndpointId& endpoint, Time now);
     void sent(const EndpointId& endpoint, Time now);
-    // When a caller that was refused for the limit should return. Callers are told moments that
-    // follow each other as the limit allows.
-    Duration return_after(const EndpointId& endpoint, Time now);
-    // Forgets what belongs to endpoints for which `known` is false.
+    // Retry-After for a caller that was rejected because of the limit. Successive callers get
+    // delays that are spaced as the limit allows.
+    Duration retry_delay(const EndpointId& endpoint, Time now);
+    // Forgets endpoints for which `known` is false.
     void expire(const std::function<bool(const EndpointId&)>& known, Time now);
 
   private:
     struct Use {
-        double tokens = 0; // requests that may be sent
-        Time counted{};    // up to when tokens were added
-        double part = -1;  // lent last; negative where nothing was
-        Time until{};      // of the loan
-        Time returns{};    // of the last caller that was told to return
+        double tokens = 0;  // requests that may be sent
+        Time refilled_at{}; // up to when tokens were added
+        double part = -1;   // share granted last; negative if none was
+        Time until{};       // when the share expires
+        Time last_retry{};  // when the last rejected caller is to retry
     };
 
     double rate(const EndpointId& endpoint, const Use& use, Time now) const;
-    Use& counted_up(const EndpointId& endpoint, Time now);
+    Use& refilled(const EndpointId& endpoint, Time now);
 
     ReportedLimits book_;
     std::map<EndpointId, Use> uses_;
-    double own_part_ = 1;
+    double own_share_ = 1;
 };
 
 } // namespace liftweir
--- a/src/request/entryloadtable.cpp
+++ b/src/request/entryloadtable.cpp
@@ -1,3 +1,5 @@
+// Table of the load reports of all entry hosts.
+
 #include "request/entryloadtable.h"
 
 #include <algorithm>
@@ -7,22 +9,23 @@
 
 namespace {
 
-constexpr Duration ToldKept = std::chrono::milliseconds(1500);
-// On the wire: 200 groups are told once a second.
+constexpr Duration ReportTimeout = std::chrono::milliseconds(1500);
+// Encoded size of a report and the bandwidth for it: 200 groups are reported once per second.
 constexpr double BytesPerGroup = 20;
 constexpr double BytesPerSecond = 4000;
 
-void add_to(std::map<Epoch, GroupLoad>& sums, const std::vector<GroupLoadReport>& shares) {
-    for (const GroupLoadReport& share : shares)
-        sums[share.epoch].add(share.load);
+void add_to(std::map<Epoch, GroupLoad>& sums, const std::vector<GroupLoadReport>& group_loads) {
+    for (const GroupLoadReport& group_load : group_loads)
+        sums[group_load.epoch].add(group_load.load);
 }
 
-void take_from(std::map<Epoch, GroupLoad>& sums, const std::vector<GroupLoadReport>& shares) {
-    for (const GroupLoadReport& share : shares) {
-        const auto sum = sums.find(share.epoch);
+void subtract_from(std::map<Epoch, GroupLoad>& sums,
+                   const std::vector<GroupLoadReport>& group_loads) {
+    for (const GroupLoadReport& group_load : group_loads) {
+        const auto sum = sums.find(group_load.epoch);
         if (sum == sums.end())
             continue;
-        sum->second.take(share.load);
+        sum->second.subtract(group_load.load);
         if (sum->second.idle())
             sums.erase(sum);
     }
@@ -30,17 +33,18 @@
 
 } // namespace
 
-void EntryLoadTable::tell(const std::string& entry, std::vector<GroupLoadReport> shares, Time now) {
-    Told& told = told_[entry];
-    take_from(all_, told.shares);
-    add_to(all_, shares);
-    told = {std::move(shares), now};
+void EntryLoadTable::tell(const std::string& entry, std::vector<GroupLoadReport> group_loads,
+                          Time now) {
+    EntryLoad& report = reports_[entry];
+    subtract_from(total_, report.group_loads);
+    add_to(total_, group_loads);
+    report = {std::move(group_loads), now};
 }
 
 std::vector<GroupLoadReport> EntryLoadTable::load_of_others(const std::string& entry) const {
-    std::map<Epoch, GroupLoad> sums = all_;
-    if (const auto told = told_.find(entry); told != told_.end())
-        take_from(sums, told->second.shares);
+    std::map<Epoch, GroupLoad> sums = total_;
+    if (const auto report = reports_.find(entry); report != reports_.end())
+        subtract_from(sums, report->second.group_loads);
     std::vector<GroupLoadReport> others;
     others.reserve(sums.size());
     for (const auto& [epoch, load] : sums)
@@ -49,18 +53,18 @@
 }
 
 void EntryLoadTable::expire(Time now) {
-    for (auto told = told_.begin(); told != told_.end();) {
-        if (now - told->second.when <= ToldKept) {
-            ++told;
+    for (auto report = reports_.begin(); report != reports_.end();) {
+        if (now - report->second.received_at <= ReportTimeout) {
+            ++report;
             continue;
         }
-        take_from(all_, told->second.shares);
-        told = told_.erase(told);
+        subtract_from(total_, report->second.group_loads);
+        report = reports_.erase(report);
     }
 }
 
 Duration EntryLoadTable::every() const {
-    const double seconds = BytesPerGroup * static_cast<double>(all_.size()) / BytesPerSecond;
+    const double seconds = BytesPerGroup * static_cast<double>(total_.size()) / BytesPerSecond;
     const auto needed =
         std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
     return std::max(LoadReportInterval, needed);
--- a/src/request/entryloadtable.h
+++ b/src/request/entryloadtable.h
@@ -1,3 +1,6 @@
+// The load that entry hosts report to the leading control host (liftweir-site-control), which
+// sends each of them the load of the others.
+
 #ifndef ENTRYLOADTABLE_H_INCLUDED
 #define ENTRYLOADTABLE_H_INCLUDED
 
@@ -10,33 +13,32 @@
 
 namespace liftweir {
 
-// Entry hosts tell control what they have under way at each group, and are told what the others
-// have, this often at most.
+// Shortest interval between load reports, from entry hosts to control and back.
 constexpr Duration LoadReportInterval = std::chrono::milliseconds(200);
 
-// What entry hosts have under way, as the control host that leads knows it. One host of fifty sees
-// two in a hundred of the requests: by its own work alone it can not tell a group that is full from
-// an idle one. Pure.
+// Entry hosts need the reports because one of fifty sees only 2 % of the requests: from its own
+// requests it can not distinguish a full group from an idle one. Pure: no I/O and no clock of its
+// own.
 class EntryLoadTable {
   public:
-    // All that the entry host has under way; what it told before is replaced.
-    void tell(const std::string& entry, std::vector<GroupLoadReport> shares, Time now);
-    // What all others have under way, by group.
+    // Stores the entry host's load report, which replaces its previous one.
+    void tell(const std::string& entry, std::vector<GroupLoadReport> group_loads, Time now);
+    // Load of all other entry hosts, by group.
     std::vector<GroupLoadReport> load_of_others(const std::string& entry) const;
-    // Hosts that have told nothing for so long are left out.
+    // Removes the reports of hosts that have sent none for some time.
     void expire(Time now);
-    bool empty() const { return told_.empty(); }
-    // How often each entry host can be told within the bytes that control may cost it.
+    bool empty() const { return reports_.empty(); }
+    // Interval between two reports to an entry host that keeps their size within its bandwidth.
     Duration every() const;
 
   private:
-    struct Told {
-        std::vector<GroupLoadReport> shares;
-        Time when{};
+    struct EntryLoad {
+        std::vector<GroupLoadReport> group_loads;
+        Time received_at{};
     };
 
-    std::map<std::string, Told> told_;
-    std::map<Epoch, GroupLoad> all_; // sum over all hosts
+    std::map<std::string, EntryLoad> reports_;
+    std::map<Epoch, GroupLoad> total_; // sum over all hosts
 };
 
 } // namespace liftweir
--- a/src/request/fairqueue.cpp
+++ b/src/request/fairqueue.cpp
@@ -1,3 +1,5 @@
+// Weighted fair queue of an agent.
+
 #include "request/fairqueue.h"
 
 #include <algorithm>
@@ -8,17 +10,17 @@
 namespace {
 
 // Weight of the newest service time in the running mean.
-constexpr double ServiceGain = 0.1;
+constexpr double ServiceTimeSmoothing = 0.1;
 constexpr Duration ShortestRetryAfter = std::chrono::milliseconds(100);
-// An item of this cost did not say how long it is.
+// Cost of an item whose length is not known.
 constexpr double UnknownCost = 1;
 
 Duration smoothed(Duration mean, Duration newest) {
     if (mean == Duration{})
         return newest;
     return Duration(
-        static_cast<Duration::rep>(static_cast<double>(mean.count()) * (1 - ServiceGain) +
-                                   static_cast<double>(newest.count()) * ServiceGain));
+        static_cast<Duration::rep>(static_cast<double>(mean.count()) * (1 - ServiceTimeSmoothing) +
+                                   static_cast<double>(newest.count()) * ServiceTimeSmoothing));
 }
 
 } // namespace
@@ -28,8 +30,8 @@
     capacity_ = capacity;
 }
 
-// The wait that this item would see: what its own class has waiting, served at the class's share
-// of the slots. Other classes only count through that share.
+// Expected wait of this item: the waiting items of its own class, served with the class's share of
+// the slots. Other classes count only through that share.
 Duration FairQueue::expected_wait(const QueueItem& item) const {
     if (running_ < slots_)
         return {};
@@ -41,7 +43,7 @@
             ahead = cls.waiting;
             const auto own = cls.customers.find(item.customer);
             customers_ahead = own == cls.customers.end() ? 0 : own->second.items.size();
-            // A customer waits for its own items and for at most as many of each other one.
+            // A customer waits for its own items and for at most as many of each other customer.
             std::size_t fair = 0;
             for (const auto& [customer, flow] : cls.customers)
                 fair += std::min(flow.items.size(), customers_ahead + 1);
@@ -55,15 +57,15 @@
     return Duration(static_cast<Duration::rep>(turns * static_cast<double>(mean_service_.count())));
 }
 
-// Time in a slot. Short answers must not be judged by the mean of long ones, so an item that says
-// its length is; of one that does not, half the mean is believed.
+// Expected time in a slot. Short answers must not be measured by the mean of long ones, so an item
+// of known length is estimated by its length; for others half of the mean is assumed.
 Duration FairQueue::expected_service(const QueueItem& item) const {
     if (item.cost <= UnknownCost || unit_service_ == Duration{})
         return mean_service_ / 2;
     return std::chrono::duration_cast<Duration>(unit_service_ * item.cost);
 }
 
-// A full queue makes room for a more important class by refusing the newest item of the least
+// A full queue admits an item of a more important class by evicting the newest item of the least
 // important one.
 std::optional<AttemptId> FairQueue::shed_for(const QueueItem& item) {
     Class* victim_class = nullptr;
@@ -128,7 +130,7 @@
     cls.finish_tag += item.cost / cls.weight;
     --cls.waiting;
     --waiting_;
-    // An idle customer's tag is only worth keeping while it is ahead of the class.
+    // The tag of a customer without items is kept only while it is ahead of the class.
     if (flow->second.items.empty() && flow->second.finish_tag <= cls.virtual_time)
         cls.customers.erase(flow);
     return item;
@@ -147,7 +149,7 @@
             return x.second.finish_tag < y.second.finish_tag;
         };
         const auto flow = std::min_element(cls->customers.begin(), cls->customers.end(), sooner);
-        // Started now it would be cut before its end, and its work would be lost.
+        // An item that can not finish before its deadline would waste its slot.
         const QueueItem& front = flow->second.items.front();
         const Duration needed = front.early_refusal ? expected_service(front) : Duration{};
         if (front.deadline <= now + needed) {
--- a/src/request/fairqueue.h
+++ b/src/request/fairqueue.h
@@ -1,3 +1,5 @@
+// The queue of requests that wait at an endpoint's agent (liftweir-agent).
+
 #ifndef FAIRQUEUE_H_INCLUDED
 #define FAIRQUEUE_H_INCLUDED
 
@@ -14,28 +16,30 @@
 
 namespace liftweir {
 
+// A request in the queue, with the settings that apply to it.
 struct QueueItem {
     AttemptId id;
     std::string traffic_class;
     std::string customer;
     std::uint32_t class_weight = 10;
     std::uint32_t customer_weight = 10;
-    std::uint32_t shed_order = 50; // lower is refused first
-    double cost = 1;               // expected work, in any one unit
+    std::uint32_t shed_order = 50; // lower ones are refused first
+    double cost = 1;               // expected work, in the same unit for all items
     Time deadline{};
     bool early_refusal = true;
 };
 
+// Whether an item was admitted to the queue, and why not.
 struct Admission {
     bool admitted = false;
     FailureKind reason = FailureKind::Overloaded;
     Duration retry_after{};
-    std::optional<AttemptId> shed; // an admitted item that made room
+    std::optional<AttemptId> shed; // an item that was evicted to admit this one
 };
 
-// Work that waits at an endpoint: weighted fair shares by class, then by customer within the
-// class (start-time fair queueing on both levels); bounded; refuses at once what can not meet
-// its deadline. Every class with a weight makes progress, so none starves.
+// A bounded queue with weighted fair shares by traffic class, then by customer within the class
+// (start-time fair queueing on both levels). Refuses at once an item that can not meet its
+// deadline. Every class with a weight makes progress, so none starves.
 class FairQueue {
   public:
     FairQueue(std::size_t slots, std::size_t capacity) : slots_(slots), capacity_(capacity) {}
@@ -44,7 +48,7 @@
     Admission offer(const QueueItem& item, Time now);
     // Next item to start, if a slot is free. Items past their deadline are moved to `expired`.
     std::optional<QueueItem> start_next(Time now, std::vector<QueueItem>& expired);
-    // A started item of this cost ended after this time in its slot.
+    // An item of this cost ended after `service_time` in its slot.
     void finished(Duration service_time, double cost);
     bool remove(const AttemptId& id);
     std::vector<QueueItem> take_all();
@@ -79,7 +83,7 @@
     std::size_t waiting_ = 0;
     std::size_t running_ = 0;
     Duration mean_service_{};
-    Duration unit_service_{}; // for one unit of cost, over items whose cost is known
+    Duration unit_service_{}; // mean time per unit of cost, over items with a known cost
 };
 
 } // namespace liftweir
--- a/src/request/groupload.h
+++ b/src/request/groupload.h
@@ -1,3 +1,5 @@
+// The load of a serving group, and the forecast of how long one more request takes there.
+
 #ifndef GROUPLOAD_H_INCLUDED
 #define GROUPLOAD_H_INCLUDED
 
@@ -13,34 +15,34 @@
 // What a request asks of an engine.
 struct EngineDemand {
     std::uint32_t prompt_tokens = 0;
-    bool low_priority = false; // it waits behind all that do not
+    bool low_priority = false; // requests of normal priority take precedence
 
     auto operator<=>(const EngineDemand&) const = default;
 };
 
-// What an entry host has under way at one group, and what it has seen of the group's speed.
+// An entry host's requests in flight at one group, and the group's speed as measured there.
 struct GroupLoad {
-    std::uint32_t decoding = 0;        // streams past their first event
-    std::uint32_t prefilling = 0;      // requests before their first event
-    std::uint64_t prefill_tokens = 0;  // prompt tokens of those
-    std::uint32_t yielding = 0;        // of those, requests that let others go first
-    std::uint64_t yielding_tokens = 0; // prompt tokens of these
-    double seen_pass_ms = 0;           // smoothed time between events; zero where none was seen
-
-    // One request more, or one less, whose prompt waits to be read.
-    void add_reading(const EngineDemand& demand);
-    void remove_reading(const EngineDemand& demand);
-
-    // The work of other hosts beside it, or without it.
+    std::uint32_t decoding = 0;              // streams past their first event
+    std::uint32_t prefilling = 0;            // requests before their first event
+    std::uint64_t prefill_tokens = 0;        // prompt tokens of the prefilling requests
+    std::uint32_t low_priority_requests = 0; // prefilling requests that have low priority
+    std::uint64_t low_priority_tokens = 0;   // prompt tokens of the low-priority requests
+    double measured_pass_ms = 0; // smoothed time between events; zero if not measured yet
+
+    // Adds or removes one request that waits for the prefill of its prompt.
+    void add_prefill(const EngineDemand& demand);
+    void remove_prefill(const EngineDemand& demand);
+
+    // Adds or subtracts the load of other entry hosts.
     void add(const GroupLoad& others);
-    void take(const GroupLoad& others);
+    void subtract(const GroupLoad& others);
     bool idle() const { return decoding == 0 && prefilling == 0; }
 
     auto operator<=>(const GroupLoad&) const = default;
-    MSGPACK_DEFINE(decoding, prefilling, prefill_tokens, yielding, yielding_tokens)
+    MSGPACK_DEFINE(decoding, prefilling, prefill_tokens, low_priority_requests, low_priority_tokens)
 };
 
-// The load that one entry host, or several together, put on a group.
+// The load of one group by one entry host or by several together.
 struct GroupLoadReport {
     Epoch epoch = NoEpoch;
     GroupLoad load;
@@ -49,21 +51,21 @@
     MSGPACK_DEFINE(epoch, load)
 };
 
-// What one more request should meet at a group.
+// Forecast for one more request at a group.
 struct LoadForecast {
     double first_event_ms = 0; // until the first event of one more request
-    double pause_ms = 0;       // between events of all streams of the group then
-    double in_flight = 0;      // requests of all entry hosts, estimated
+    double pause_ms = 0;       // between two events of each stream of the group
+    double in_flight = 0;      // estimated requests of all entry hosts
 
     auto operator<=>(const LoadForecast&) const = default;
 };
 
-// Longest time that one pass can take: all places write, and every step reads a full chunk.
+// Longest time of one forward pass: all slots decode, and each step prefills a full chunk.
 Duration longest_pass(const EngineCost& engine, const ModelShape& model);
 
-// Predicts what one more request meets at a group. The engine makes passes: in each it reads at
-// most a chunk of prompts at each of its steps and writes a few tokens of every stream. `others` is
-// how many times this host's own work all entry hosts have there together.
+// Forecasts one more request at a group. In each forward pass the engine prefills at most one chunk
+// of prompts per step and decodes a few tokens of every stream. `others` is the load of all entry
+// hosts at the group as a multiple of `load`.
 LoadForecast forecast(const EngineCost& engine, const ModelShape& model, const GroupLoad& load,
                       const EngineDemand& demand, double others);
 
--- a/src/request/leveling.cpp
+++ b/src/request/leveling.cpp
@@ -1,3 +1,5 @@
+// Water-filling choice among targets with outdated load levels.
+
 #include "request/leveling.h"
 
 #include <algorithm>
@@ -9,14 +11,14 @@
 
 namespace {
 
-// Long enough for a dozen requests of a host that gets two in a second.
+// Averages over about a dozen requests of a host that receives two per second.
 constexpr double SmoothedOverSeconds = 3;
 
 double seconds_between(Time from, Time to) {
     return std::chrono::duration<double>(to - from).count();
 }
 
-// The level that `inflow` fills the lowest places up to.
+// The common level of the lowest targets after `inflow` was spread over them.
 double filled_level(std::vector<double> levels, double inflow) {
     std::sort(levels.begin(), levels.end());
     double sum = 0;
@@ -26,7 +28,7 @@
         if (n + 1 == levels.size() || level <= levels[n + 1])
             return level;
     }
-    return 0; // no places
+    return 0; // no targets
 }
 
 } // namespace
@@ -40,19 +42,19 @@
     return per_second_ * std::exp(-seconds_between(last_, now) / SmoothedOverSeconds);
 }
 
-// Whoever takes the lowest place by old figures takes it together with everybody else, and the next
-// figures show it as the highest. Filled like water, each place gets what brings it up to the
-// common level.
+// If all choosers took the target with the lowest outdated level, its next level would be the
+// highest. With water filling, each target is chosen with a probability in proportion to the amount
+// that raises it to the common level.
 std::size_t choose_by_level(const std::vector<double>& levels, double inflow, double draw) {
     const double level = filled_level(levels, inflow);
     std::vector<double> room(levels.size());
     std::transform(levels.begin(), levels.end(), room.begin(),
                    [level](double at) { return std::max(0.0, level - at); });
-    const double all = std::accumulate(room.begin(), room.end(), 0.0);
+    const double total = std::accumulate(room.begin(), room.end(), 0.0);
     const auto lowest = std::min_element(levels.begin(), levels.end()) - levels.begin();
-    if (all <= 0)
+    if (total <= 0)
         return static_cast<std::size_t>(lowest);
-    double left = draw * all;
+    double left = draw * total;
     for (std::size_t n = 0; n < room.size(); ++n) {
         left -= room[n];
         if (left < 0)
--- a/src/request/leveling.h
+++ b/src/request/leveling.h
@@ -1,3 +1,5 @@
+// Randomised load balancing for several choosers that share outdated load levels.
+
 #ifndef LEVELING_H_INCLUDED
 #define LEVELING_H_INCLUDED
 
@@ -8,7 +10,7 @@
 
 namespace liftweir {
 
-// How much of something arrives in a second, smoothed over some seconds.
+// An amount per second, smoothed exponentially over a few seconds.
 class ArrivalRate {
   public:
     void add(double amount, Time now);
@@ -19,9 +21,10 @@
     Time last_{};
 };
 
-// Chooses among places whose levels all choosers have seen some time ago, so that together they
-// fill the lower ones up evenly. `inflow` is what all choosers add until they see newer levels, in
-// the levels' unit. `draw` is uniform in 0 to 1. Expects a level at least.
+// Returns the index of a target. All choosers know the same levels from some time ago, and together
+// they fill the lower targets up to a common level. `inflow` is the amount that all choosers add
+// until they know newer levels, in the unit of the levels. `draw` is uniform in 0 to 1. There must
+// be at least one level.
 std::size_t choose_by_level(const std::vector<double>& levels, double inflow, double draw);
 
 } // namespace liftweir
--- a/src/request/limits.cpp
+++ b/src/request/limits.cpp
@@ -1,3 +1,5 @@
+// Rate and concurrency limits per customer.
+
 #include "request/limits.h"
 
 #include <algorithm>
@@ -6,7 +8,7 @@
 
 namespace {
 
-// A customer may use a second's worth at once: phones and batch desks send in bursts.
+// A customer may use the amount of one second at once, since phones and batch jobs send in bursts.
 constexpr Duration Burst = std::chrono::seconds(1);
 constexpr Duration ConcurrencyRetry = std::chrono::milliseconds(200);
 
@@ -43,7 +45,7 @@
         in_flight_.fetch_sub(1, std::memory_order_relaxed);
         return ConcurrencyRetry;
     }
-    // Tokens are charged when they are known; here only a debt beyond the burst refuses.
+    // Tokens are charged when their number is known; here only a debt beyond the burst rejects.
     auto wait = tokens_.take(0, rates.tokens_per_second, Burst, now);
     if (!wait)
         wait = requests_.take(1, rates.requests_per_second, Burst, now);
--- a/src/request/outcome.cpp
+++ b/src/request/outcome.cpp
@@ -1,3 +1,5 @@
+// HTTP status and body of failed requests.
+
 #include "request/outcome.h"
 
 #include "version/keys.h"
--- a/src/request/outcome.h
+++ b/src/request/outcome.h
@@ -1,3 +1,5 @@
+// Outcome of a request, and how a failure is reported to the caller.
+
 #ifndef OUTCOME_H_INCLUDED
 #define OUTCOME_H_INCLUDED
 
@@ -8,7 +10,7 @@
 
 namespace liftweir {
 
-// What is known about a request at its end. NotRun is said only where it is proved.
+// What is known about a request at its end. NotRun is reported only if it is certain.
 enum class Outcome : unsigned char { Completed, NotRun, Unknown };
 
 std::string_view name_of(Outcome outcome);
@@ -16,7 +18,7 @@
 // HTTP status for a request that ended with this failure.
 int status_of(FailureKind kind, Outcome outcome);
 
-// The error's JSON body, as callers see it.
+// JSON body of an error response to a caller.
 std::string error_body(const Failure& failure, Outcome outcome);
 
 } // namespace liftweir
--- a/src/request/precedence.cpp
+++ b/src/request/precedence.cpp
@@ -1,22 +1,24 @@
+// Choice of the requests with low priority.
+
 #include "request/precedence.h"
 
 namespace liftweir {
 
 namespace {
 
-// A first event takes about half of the goal where a group has its usual work: whoever has waited
-// for longer than the other half is going to be late.
-constexpr int YieldAfterPartOfGoal = 2;
+// At a group with its usual load, the first event takes about half of the goal: a caller that has
+// waited for more than the other half is served late.
+constexpr int LowPriorityGoalDivisor = 2;
 
 } // namespace
 
-// The streams of a group that was lost are late as soon as that is noticed, and their callers stay
-// for seconds. Reading their prompts anew first would make new requests late as well.
+// The streams of a lost group are late as soon as the loss is detected, but their callers wait for
+// seconds. If their prompts were prefilled first, new requests would become late as well.
 bool is_bound_to_be_late(const CallProgress& call) {
-    if (call.begun)
-        return call.pause_goal > Duration::zero() && call.stood_still > call.pause_goal;
+    if (call.streaming)
+        return call.pause_goal > Duration::zero() && call.stalled_for > call.pause_goal;
     return call.latency_goal > Duration::zero() &&
-           call.waited > call.latency_goal / YieldAfterPartOfGoal;
+           call.waited > call.latency_goal / LowPriorityGoalDivisor;
 }
 
 } // namespace liftweir
--- a/src/request/precedence.h
+++ b/src/request/precedence.h
@@ -1,3 +1,5 @@
+// Decides which requests get low priority at an endpoint (liftweir-site-entry).
+
 #ifndef PRECEDENCE_H_INCLUDED
 #define PRECEDENCE_H_INCLUDED
 
@@ -5,19 +7,19 @@
 
 namespace liftweir {
 
-// How far a caller's request has come.
+// Progress of a caller's request.
 struct CallProgress {
-    bool begun = false;      // its caller has the first event
-    Duration waited{};       // by the caller, from its first try
-    Duration stood_still{};  // since the last event; of a stream that was begun
-    Duration latency_goal{}; // for the first event; zero where none is set
-    Duration pause_goal{};   // between two events; zero where none is set
+    bool streaming = false;  // the caller has received the first event
+    Duration waited{};       // since the caller's first attempt
+    Duration stalled_for{};  // since the last event, if the stream has begun
+    Duration latency_goal{}; // until the first event; zero if none is set
+    Duration pause_goal{};   // between two events; zero if none is set
 
     auto operator<=>(const CallProgress&) const = default;
 };
 
-// Whether a request will be late whatever is done, and so lets go first what may still be in time.
-// Nothing is late without a goal.
+// Whether a request misses its goal in any case, so that requests that can still meet theirs take
+// precedence. A request without a goal is never late.
 bool is_bound_to_be_late(const CallProgress& call);
 
 } // namespace liftweir
--- a/src/request/relayedanswer.cpp
+++ b/src/request/relayedanswer.cpp
@@ -1,5 +1,5 @@
-// How RelayedCall takes an endpoint's answer: passes it on, or decides what follows where it breaks
-// off.
+// How RelayedCall handles an endpoint's response: forwards it, or retries or fails the call if the
+// response is aborted.
 
 #include "process/logging.h"
 #include "request/relayedcall.h"
@@ -11,11 +11,11 @@
 
 namespace {
 
-// Once so many endpoints were tried, the next one that takes no connection ends the call.
-constexpr std::size_t MostTriedWithoutConnection = 4;
-// Answers that are held back until they are whole; larger ones are cut off as failures.
+// After attempts at this many endpoints, the next one that accepts no connection ends the call.
+constexpr std::size_t MaxTriedWithoutConnection = 4;
+// Responses without a stream are buffered until they are complete; larger ones fail.
 constexpr std::size_t MaxWholeBody = 8u << 20;
-// A slow caller holds its endpoint back beyond this many bytes.
+// Reading from the endpoint pauses while a slow caller has more bytes than this outstanding.
 constexpr std::size_t MaxUnwritten = 256u << 10;
 
 bool is_event_stream(const HttpResponseHead& head) {
@@ -33,82 +33,82 @@
 
 } // namespace
 
-// ---- the endpoint's answer
+// ---- the endpoint's response
 
 void RelayedCall::on_head(const HttpResponseHead& head) {
     head_ = head;
-    note_ = host_.protocol().parse_response(head, request_);
-    if (note_.request_id_mismatch) {
+    signals_ = host_.protocol().parse_response(head, request_);
+    if (signals_.request_id_mismatch) {
         on_broken("the answer belongs to another request");
         return;
     }
     note_limit();
     note_backoff();
-    if (note_.leaving && !note_.misdirected)
+    if (signals_.leaving && !signals_.misdirected)
         host_.note_leaving(endpoint_);
-    events_ = status_class(head.status) == 2 && is_event_stream(head);
-    if (begun_ && !events_ && !note_.not_run)
-        on_broken("a stream was not taken up");
+    streaming_ = status_class(head.status) == 2 && is_event_stream(head);
+    if (response_started_ && !streaming_ && !signals_.not_run)
+        on_broken("the endpoint did not resume the stream");
 }
 
-// An endpoint that fails, and names no limit, has not taken one back.
+// A server error without a rate limit does not revoke a limit that was reported before.
 void RelayedCall::note_limit() {
-    const bool named = note_.limit_per_second > 0 || note_.limit_fault != NumberFault::None;
-    if (!note_.misdirected && (named || status_class(head_.status) != 5))
-        host_.note_limit(endpoint_, note_, sent_);
+    const bool named = signals_.limit_per_second > 0 || signals_.limit_fault != NumberFault::None;
+    if (!signals_.misdirected && (named || status_class(head_.status) != 5))
+        host_.note_limit(endpoint_, signals_, sent_at_);
 }
 
 void RelayedCall::note_backoff() {
-    if (note_.backoff > Duration::zero() || note_.backoff_fault != NumberFault::None)
-        host_.note_backoff(endpoint_, note_);
+    if (signals_.backoff > Duration::zero() || signals_.backoff_fault != NumberFault::None)
+        host_.note_backoff(endpoint_, signals_);
 }
 
 void RelayedCall::on_body(std::string_view bytes) {
     if (done_ || endpoint_.empty())
         return;
-    if (!events_) {
+    if (!streaming_) {
         body_.append(bytes);
         if (body_.size() > MaxWholeBody)
             on_broken("the answer is too large");
         return;
     }
     splitter_.feed(bytes);
-    pass_events();
+    forward_events();
     if (splitter_.overflowed())
         on_broken("an event is too large");
 }
 
-void RelayedCall::pass_events() {
+void RelayedCall::forward_events() {
     const Time now = BootClock::now();
     for (std::string event = splitter_.next(); !event.empty(); event = splitter_.next()) {
         note_progress(now);
-        pass_event(std::move(event));
+        forward_event(std::move(event));
     }
 }
 
-// Plain services may stream too, but no engine's passes move their streams.
+// Streams of plain services are not counted: no engine's forward passes advance them together.
 void RelayedCall::note_progress(Time now) {
     const bool first = !std::exchange(first_seen_, true);
     if (uses_engine())
         host_.directory().use(endpoint_).on_event(engine_demand(), first, now);
 }
 
-void RelayedCall::pass_event(std::string event) {
+void RelayedCall::forward_event(std::string event) {
     const Time now = BootClock::now();
     if (const std::string_view id = id_of_event(event); !id.empty())
         last_event_ = id;
-    if (!begun_) {
-        begun_ = true;
+    if (!response_started_) {
+        response_started_ = true;
         first_event_took_ = now - received_;
         exchange_->begin(head_.status, end_to_end(head_));
     } else {
-        longest_pause_ = std::max(longest_pause_, now - last_passed_);
+        longest_pause_ = std::max(longest_pause_, now - last_forwarded_);
     }
-    last_passed_ = now;
-    pass_bytes(std::move(event));
+    last_forwarded_ = now;
+    forward_bytes(std::move(event));
 }
 
-void RelayedCall::pass_bytes(std::string bytes) {
+void RelayedCall::forward_bytes(std::string bytes) {
     const std::size_t size = bytes.size();
     unwritten_ += size;
     if (unwritten_ > MaxUnwritten && call_)
@@ -131,55 +131,55 @@
         return;
     }
     if (how == CallEnd::Broken)
-        note_cut_off();
+        report_aborted();
     if (how != CallEnd::Complete) {
         host_.directory().failed(endpoint_, BootClock::now());
-        on_broken(how == CallEnd::Broken ? "the endpoint broke off" : "not an answer");
+        on_broken(how == CallEnd::Broken ? "the endpoint broke off" : "not a valid response");
         return;
     }
-    if (note_.not_run) {
+    if (signals_.not_run) {
         on_not_run();
         return;
     }
     on_complete();
 }
 
-// No byte of the request has left, so this attempt counts for nothing.
+// No byte of the request was sent, so this attempt does not count.
 void RelayedCall::on_no_connection() {
     const Time now = BootClock::now();
     host_.directory().failed(endpoint_, now);
     host_.unreachable(endpoint_);
     release_endpoint();
     --sends_;
-    if (tried_.size() < MostTriedWithoutConnection)
+    if (tried_.size() < MaxTriedWithoutConnection)
         attempt(now);
     else
-        refuse_or_cut("no endpoint takes connections", RetryAfterNoGroup);
+        refuse_or_abort("no endpoint accepts connections", RetryAfterNoGroup);
 }
 
 void RelayedCall::on_not_run() {
     const Time now = BootClock::now();
     const bool leading = host_.directory().registry().find(endpoint_) != nullptr && uses_engine();
-    if (note_.misdirected || leading)
+    if (signals_.misdirected || leading)
         host_.directory().failed(endpoint_, now);
     release_endpoint();
     attempt(now);
 }
 
-// The endpoint may have ended, and because of this request: the host knows more than one call does.
-void RelayedCall::note_cut_off() {
-    const auto age = static_cast<std::uint32_t>(to_millis(BootClock::now() - sent_));
+// The endpoint may have crashed because of this request; the host compares it with other calls.
+void RelayedCall::report_aborted() {
+    const auto age = static_cast<std::uint32_t>(to_millis(BootClock::now() - sent_at_));
     host_.aborted({fingerprint(), age}, endpoint_);
 }
 
-// A success, or a failure that the endpoint lived to tell of.
-void RelayedCall::note_answered() {
+// The endpoint completed its response, also if it is an error, so the request did not crash it.
+void RelayedCall::clear_suspicion() {
     if (!host_.quarantine().empty() && host_.quarantine().is_suspect(fingerprint()))
         host_.cleared(fingerprint());
 }
 
-// The request may have run. Only what may run twice is sent again; a stream goes on behind the
-// last event that the caller has.
+// The request may have run, so it is retried only if it may run twice; a stream resumes after the
+// last event that the caller has received.
 void RelayedCall::on_broken(const char* why) {
     const Time now = BootClock::now();
     log(LogLevel::Info, "attempt ended",
@@ -189,44 +189,44 @@
          {"content", text_of(fingerprint())},
          {"begun_here", first_seen_ ? "yes" : "no"},
          {"last_event", last_event_},
-         {"since_sent_ms", std::to_string(to_millis(now - sent_))},
+         {"since_sent_ms", std::to_string(to_millis(now - sent_at_))},
          {"repeatable", plan_.route->repeatable() ? "yes" : "no"}});
     release_endpoint();
     ++runs_;
     const bool repeatable = plan_.route->repeatable();
-    if (repeatable && begun_)
+    if (repeatable && response_started_)
         ++resumed_;
     if (!repeatable || runs_ >= runs_allowed()) {
-        fail_or_cut(why);
+        fail_or_abort(why);
         return;
     }
     attempt(now);
 }
 
 void RelayedCall::on_complete() {
-    if (events_)
+    if (streaming_)
         complete_stream();
     else
         complete_whole();
 }
 
 void RelayedCall::complete_stream() {
-    note_answered();
+    clear_suspicion();
     std::string rest = splitter_.rest();
-    if (!rest.empty() && begun_)
-        pass_bytes(std::move(rest));
+    if (!rest.empty() && response_started_)
+        forward_bytes(std::move(rest));
     host_.directory().succeeded(endpoint_);
     release_endpoint();
-    if (!begun_)
+    if (!response_started_)
         exchange_->begin(head_.status, end_to_end(head_));
     exchange_->finish();
     finish(head_.status, "");
 }
 
-// An endpoint's own failure is passed on only where no other endpoint may be asked.
+// An endpoint's server error is forwarded only if the request can not be sent to another endpoint.
 void RelayedCall::complete_whole() {
     const Time now = BootClock::now();
-    note_answered();
+    clear_suspicion();
     const bool failure = status_class(head_.status) == 5;
     if (failure)
         host_.directory().failed(endpoint_, now);
@@ -236,7 +236,8 @@
     std::string body = std::move(body_);
     release_endpoint();
     ++runs_;
-    if (failure && plan_.route->repeatable() && runs_ < runs_allowed() && takes_another(now)) {
+    if (failure && plan_.route->repeatable() && runs_ < runs_allowed() &&
+        can_send_to_another(now)) {
         attempt(now);
         return;
     }
--- a/src/request/relayedcall.cpp
+++ b/src/request/relayedcall.cpp
@@ -1,3 +1,5 @@
+// How RelayedCall sends a request to endpoints and ends the call.
+
 #include "request/relayedcall.h"
 
 #include "process/logging.h"
@@ -12,10 +14,10 @@
 
 namespace {
 
-// A dark host answers no connect; another endpoint may still be in time.
-constexpr Duration ConnectPatience = std::chrono::milliseconds(120);
-// Beside the permitted number of runs, one send that provably did not run may be repeated.
-constexpr std::uint32_t ExtraSends = 1;
+// An unreachable host does not answer a connect; another endpoint may still meet the latency goal.
+constexpr Duration ConnectTimeout = std::chrono::milliseconds(120);
+// Beyond the permitted number of runs, one attempt that provably did not run may be retried.
+constexpr std::uint32_t ExtraAttempts = 1;
 
 std::string millis_text(Duration d) {
     return std::to_string(to_millis(d));
@@ -36,7 +38,7 @@
 
 void RelayedCall::start() {
     host_.budget(plan_.service->name).request(received_);
-    exchange_->on_disconnect([self = shared_from_this()] { self->caller_left(); });
+    exchange_->on_disconnect([self = shared_from_this()] { self->on_caller_disconnected(); });
     attempt(received_);
 }
 
@@ -51,7 +53,8 @@
 }
 
 bool RelayedCall::low_priority(Time now) const {
-    return is_bound_to_be_late({begun_, waited(now), begun_ ? now - last_passed_ : Duration::zero(),
+    return is_bound_to_be_late({response_started_, waited(now),
+                                response_started_ ? now - last_forwarded_ : Duration::zero(),
                                 plan_.route->latency_goal, plan_.route->pause_goal});
 }
 
@@ -63,9 +66,9 @@
     const auto sent = send_to_best(now);
     if (sent)
         return;
-    const bool may_wait = begun_ || host_.discovering_endpoints(now);
-    if (sent.error() != PickFailure::NoneServes && !may_wait) {
-        refuse_unpicked(sent.error(), now);
+    const bool may_wait = response_started_ || host_.discovering_endpoints(now);
+    if (sent.error() != PickFailure::NoneInService && !may_wait) {
+        refuse_without_endpoint(sent.error(), now);
         return;
     }
     waiting_ = true;
@@ -92,7 +95,7 @@
     return std::max(1u, plan_.route->max_attempts);
 }
 
-// The fingerprint is worked out only while there is anything to compare it with.
+// The fingerprint is computed only while the quarantine holds any request.
 bool RelayedCall::refused_by_quarantine(Time now) {
     const Quarantine& quarantine = host_.quarantine();
     if (quarantine.empty())
@@ -101,11 +104,11 @@
     if (left <= Duration::zero())
         return false;
     Metrics::instance().counter("liftweir_quarantine_refused").add();
-    refuse_or_cut("under quarantine", left);
+    refuse_or_abort("under quarantine", left);
     return true;
 }
 
-// A copy that an endpoint has not begun yet is taken back before it ends that one too.
+// Cancels an attempt that has no event yet, before the request can crash that endpoint as well.
 void RelayedCall::check_quarantine(Time now) {
     if (done_ || first_seen_ || host_.quarantine().left(fingerprint(), now) <= Duration::zero())
         return;
@@ -116,44 +119,45 @@
     refused_by_quarantine(now);
 }
 
-bool RelayedCall::takes_another(Time now) {
+bool RelayedCall::can_send_to_another(Time now) {
     return host_.budget(plan_.service->name).has_left(now) &&
            host_.directory().pick(demand(now), tried_, now).has_value();
 }
 
-bool RelayedCall::may_send_again(Time now) {
+bool RelayedCall::may_retry(Time now) {
     if (sends_ == 0)
         return true;
-    if (runs_ >= runs_allowed() || sends_ >= runs_allowed() + ExtraSends)
+    if (runs_ >= runs_allowed() || sends_ >= runs_allowed() + ExtraAttempts)
         return false;
     return host_.budget(plan_.service->name).take(now);
 }
 
-// A caller that gave up while this process was busy or frozen has its close right behind its
-// request, and not read yet: asked here, it costs no endpoint a run.
+// A caller may have disconnected while this process was busy or suspended, with the close not read
+// yet. Checking the connection before sending saves the endpoint a useless run.
 void RelayedCall::send(const Pick& pick, Time now) {
     if (exchange_->left()) {
-        caller_left();
+        on_caller_disconnected();
         return;
     }
-    if (!may_send_again(now)) {
-        refuse_or_cut("no attempt is left", RetryAfterFull);
+    if (!may_retry(now)) {
+        refuse_or_abort("no attempt is left", RetryAfterFull);
         return;
     }
     if (sends_++ > 0)
-        note_sent_again(pick, now);
+        log_retry(pick, now);
     begin_attempt(pick, now);
     occupy_endpoint(pick, now);
-    const ForwardedFields note{endpoint_, plan_.customer, deadline_ - now, last_event_, yields_};
+    const ForwardedFields fields{endpoint_, plan_.customer, deadline_ - now, last_event_,
+                                 low_priority_};
     ChannelOptions options;
     options.fresh = !plan_.route->repeatable();
-    options.connect_timeout = ConnectPatience;
+    options.connect_timeout = ConnectTimeout;
     options.max_idle_connections = host_.directory().connections_allowed(*plan_.service);
-    call_ = host_.pool().start(pick.address, host_.protocol().forward(*exchange_, note),
+    call_ = host_.pool().start(pick.address, host_.protocol().forward(*exchange_, fields),
                                std::string(exchange_->body()), options, events_of_attempt());
 }
 
-void RelayedCall::note_sent_again(const Pick& pick, Time now) const {
+void RelayedCall::log_retry(const Pick& pick, Time now) const {
     log(LogLevel::Info, "sent again",
         {{"request", request_.id},
          {"endpoint", text_of(pick.endpoint)},
@@ -162,17 +166,17 @@
          {"repeats_used", std::to_string(host_.budget(plan_.service->name).used(now))}});
 }
 
-// Nothing of an earlier attempt's answer may reach the caller with this one's.
+// Clears the state of the earlier attempt, so that its response is not mixed with the new one.
 void RelayedCall::begin_attempt(const Pick& pick, Time now) {
     forecast_ = pick.forecast;
     endpoint_ = pick.endpoint;
     endpoints_ += (endpoints_.empty() ? "" : ",") + text_of(pick.endpoint);
     tried_.insert(pick.endpoint);
-    sent_ = now;
-    yields_ = low_priority(now);
+    sent_at_ = now;
+    low_priority_ = low_priority(now);
     first_seen_ = false;
     head_ = {};
-    note_ = {};
+    signals_ = {};
     body_.clear();
     splitter_ = {};
 }
@@ -181,8 +185,8 @@
     EndpointUse& use = host_.directory().use(endpoint_);
     ++use.in_flight;
     host_.directory().limits().sent(endpoint_, now);
-    if (pick.cold_every > Duration::zero())
-        use.cold.sent(pick.cold_every, now);
+    if (pick.cold_interval > Duration::zero())
+        use.cold.sent(pick.cold_interval, now);
     if (!uses_engine())
         return;
     use.sent(engine_demand(), pick.longest_pass, pick.first_event, now);
@@ -194,7 +198,7 @@
     CallEvents events;
     events.on_connected = [weak] {
         if (const auto self = weak.lock(); self && self->exchange_->left())
-            self->caller_left();
+            self->on_caller_disconnected();
     };
     events.on_head = [weak](const HttpResponseHead& head) {
         if (const auto self = weak.lock())
@@ -226,17 +230,17 @@
 
 // ---- ends
 
-// A caller that has the head can be told no status any more: its stream is cut off instead.
-void RelayedCall::refuse_or_cut(const char* why, Duration retry_after) {
-    if (begun_)
-        cut(why);
+// After the response head was sent, the status can not change any more: the stream is aborted.
+void RelayedCall::refuse_or_abort(const char* why, Duration retry_after) {
+    if (response_started_)
+        abort_response(why);
     else
         refuse(why, retry_after);
 }
 
-void RelayedCall::fail_or_cut(const char* why) {
-    if (begun_)
-        cut(why);
+void RelayedCall::fail_or_abort(const char* why) {
+    if (response_started_)
+        abort_response(why);
     else
         fail(502, why);
 }
@@ -245,7 +249,7 @@
     if (done_)
         return;
     release_endpoint();
-    // What may have run must not be called refused, unless running twice does no harm.
+    // A call that may have run must not be reported as rejected, unless running it twice is safe.
     if (runs_ > 0 && !plan_.route->repeatable()) {
         fail(502, why);
         return;
@@ -255,17 +259,18 @@
     finish(503, why);
 }
 
-// A caller is told to come back when an endpoint may be asked again, as far as that is known.
-void RelayedCall::refuse_unpicked(const NoPick& none, Time now) {
+// Retry-After names the time when an endpoint is expected to accept requests, if it is known.
+void RelayedCall::refuse_without_endpoint(const NoPick& none, Time now) {
     if (none == PickFailure::AllFull) {
         refuse(full_reason(), RetryAfterFull);
-    } else if (none == PickFailure::AllHeldBack) {
+    } else if (none == PickFailure::AllThrottled) {
         Metrics::instance().counter("liftweir_held_back_refused").add();
-        const Duration after = host_.directory().return_after(none, now);
+        const Duration after = host_.directory().retry_delay(none, now);
         refuse("all endpoints are at their limits or rest",
-               std::max(after, CallerWaitEstimator::SoonestReturn));
+               std::max(after, CallerWaitEstimator::MinRetryDelay));
     } else {
-        refuse(sends_ == 0 ? "no endpoint serves" : "no other endpoint serves", RetryAfterNoGroup);
+        refuse(sends_ == 0 ? "no endpoint serves" : "no other endpoint is in service",
+               RetryAfterNoGroup);
     }
 }
 
@@ -278,26 +283,26 @@
     finish(status, why);
 }
 
-void RelayedCall::cut(const char* why) {
+void RelayedCall::abort_response(const char* why) {
     if (done_)
         return;
     exchange_->abort();
     finish(0, why);
 }
 
-void RelayedCall::caller_left() {
+void RelayedCall::on_caller_disconnected() {
     if (done_)
         return;
     const bool at_endpoint = !endpoint_.empty();
     release_endpoint();
     if (const auto left = exchange_->left(); left && at_endpoint)
-        caller_gone_ = BootClock::now() - *left;
+        cancel_delay_ = BootClock::now() - *left;
     finish(0, "the caller left");
 }
 
 void RelayedCall::abandon() {
-    if (begun_)
-        cut("the process ends");
+    if (response_started_)
+        abort_response("the process ends");
     else if (sends_ == 0 || plan_.route->repeatable())
         refuse("the process ends", RetryAfterFull);
     else
@@ -325,7 +330,7 @@
          {"resumed", std::to_string(resumed_)},
          {"why", why}});
     host_.ended({plan_.route->name, status, took, first_event_took_, longest_pause_, sends_,
-                 resumed_, caller_gone_});
+                 resumed_, cancel_delay_});
 }
 
 } // namespace liftweir
--- a/src/request/relayedwait.cpp
+++ b/src/request/relayedwait.cpp
@@ -1,4 +1,4 @@
-// How long RelayedCall waits: for an endpoint, for an answer, and between two events.
+// How long RelayedCall waits for an endpoint, for a response, and between two events.
 
 #include "request/relayedcall.h"
 
@@ -8,18 +8,21 @@
 
 namespace {
 
-// A call that no endpoint takes is held for this part of its latency goal: long enough for a group
-// that is just being put together, short enough that a refusal leaves time for another try.
-constexpr int HoldPartOfGoal = 5;
-// While endpoints are about to be heard of, it may wait for this part of the time it has.
-constexpr int HoldPartOfPatience = 4;
-// Callers give a stream up after the longest of these; liftweir goes on trying until just before.
-constexpr Duration CallerGap = std::chrono::milliseconds(2000);
+// A call that no endpoint accepts waits for its latency goal divided by this: long enough for a
+// group that is about to open, short enough to leave the caller time for another attempt.
+constexpr int HoldGoalDivisor = 5;
+// While this host is still discovering endpoints, a call may wait for its time limit divided by
+// this.
+constexpr int HoldTimeLimitDivisor = 4;
+// Callers abandon a stream after the longest of these pauses between two events: a fixed time, a
+// number of latency goals or a number of pause goals. Liftweir tries to resume a broken stream
+// until GapMargin before that.
+constexpr Duration MinCallerGap = std::chrono::milliseconds(2000);
 constexpr int CallerGapGoals = 4;
 constexpr int CallerGapPauses = 8;
 constexpr Duration GapMargin = std::chrono::milliseconds(150);
-// A safe call without an answer is sent elsewhere after this part of its latency goal.
-constexpr double RepeatAfterGoal = 0.6;
+// A safe call without a response head is retried at another endpoint after this part of its goal.
+constexpr double RetryAfterPartOfGoal = 0.6;
 
 } // namespace
 
@@ -29,61 +32,61 @@
     if (now >= deadline_)
         out_of_time();
     else if (waiting_)
-        wait_on(now);
-    else if (overdue(now) && takes_another(now))
-        on_broken("no answer in time");
+        keep_waiting(now);
+    else if (response_overdue(now) && can_send_to_another(now))
+        on_broken("no response in time");
 }
 
 void RelayedCall::out_of_time() {
-    if (begun_)
-        cut("out of time");
+    if (response_started_)
+        abort_response("the time limit has passed");
     else if (sends_ == 0)
-        refuse("out of time", RetryAfterNoGroup);
+        refuse("the time limit has passed", RetryAfterNoGroup);
     else
-        fail(504, "out of time");
+        fail(504, "the time limit has passed");
 }
 
-void RelayedCall::wait_on(Time now) {
+void RelayedCall::keep_waiting(Time now) {
     if (refused_by_quarantine(now))
         return;
     const auto sent = send_to_best(now);
     if (sent)
         return;
-    if (begun_) {
-        if (now - last_passed_ > patience_between_events())
-            cut("no group to go on at");
+    if (response_started_) {
+        if (now - last_forwarded_ > max_event_gap())
+            abort_response("no group to go on at");
         return;
     }
-    if (now - received_ < longest_wait(now))
+    if (now - received_ < max_wait(now))
         return;
-    refuse_unpicked(sent.error(), now);
+    refuse_without_endpoint(sent.error(), now);
 }
 
-// Right after the start of this host most endpoints are about to be heard of.
-Duration RelayedCall::longest_wait(Time now) const {
-    const Duration usual = plan_.route->latency_goal / HoldPartOfGoal;
+// Right after the start of this process most endpoints are not known yet.
+Duration RelayedCall::max_wait(Time now) const {
+    const Duration usual = plan_.route->latency_goal / HoldGoalDivisor;
     if (!host_.discovering_endpoints(now))
         return usual;
-    return std::max(usual, (deadline_ - received_) / HoldPartOfPatience);
+    return std::max(usual, (deadline_ - received_) / HoldTimeLimitDivisor);
 }
 
-Duration RelayedCall::patience_between_events() const {
-    const Duration gap = std::max({CallerGap, CallerGapGoals * plan_.route->latency_goal,
+Duration RelayedCall::max_event_gap() const {
+    const Duration gap = std::max({MinCallerGap, CallerGapGoals * plan_.route->latency_goal,
                                    CallerGapPauses * plan_.route->pause_goal});
     return gap - GapMargin;
 }
 
-// Whether a safe call has gone without a head for so long that another endpoint should get it.
-bool RelayedCall::overdue(Time now) const {
-    const Duration repeat_after = scaled(plan_.route->latency_goal, RepeatAfterGoal);
-    return plan_.route->kind == CallKind::Safe && head_.status == 0 && now - sent_ > repeat_after &&
-           runs_ + 1 < runs_allowed();
+// Whether a safe call has had no response head for so long that another endpoint should get it.
+bool RelayedCall::response_overdue(Time now) const {
+    const Duration retry_after = scaled(plan_.route->latency_goal, RetryAfterPartOfGoal);
+    return plan_.route->kind == CallKind::Safe && head_.status == 0 &&
+           now - sent_at_ > retry_after && runs_ + 1 < runs_allowed();
 }
 
 void RelayedCall::stalled(const EndpointId& lead, Time now) {
     if (done_ || endpoint_ != lead || !plan_.route->repeatable() || runs_ + 1 >= runs_allowed())
         return;
-    if (takes_another(now))
+    if (can_send_to_another(now))
         on_broken("the group stands still");
 }
 
--- a/src/request/requestcheck.h
+++ b/src/request/requestcheck.h
@@ -1,3 +1,5 @@
+// Validates callers' requests at liftweir-entry before any part of them is sent to an endpoint.
+
 #ifndef REQUESTCHECK_H_INCLUDED
 #define REQUESTCHECK_H_INCLUDED
 
@@ -9,16 +11,16 @@
 
 namespace liftweir {
 
-// Longest answer that a request may ask for, in tokens: above any context window of today.
-constexpr std::uint32_t MostTokens = 1u << 20;
+// Longest answer that a request may ask for, in tokens: above any present context window.
+constexpr std::uint32_t MaxTokens = 1u << 20;
 
-// Bounds of what a caller sends, asked before anything of it leaves for an endpoint: an endpoint
-// may end on a field that it does not expect. BadRequest names the field and what is allowed.
+// An engine may crash on a field that it does not expect, so every known field is checked. Both
+// functions fail with BadRequest, which names the field and its allowed values.
 
-// Body of a completion, or of a chat.
+// Checks the body of a completion or of a chat completion.
 Expected<void> check_model_body(const Json::Value& body, bool chat);
 
-// The headers that are read or passed on.
+// Checks the headers that are used or forwarded.
 Expected<void> check_headers(const HttpExchange& exchange);
 
 } // namespace liftweir
--- a/src/request/retry.cpp
+++ b/src/request/retry.cpp
@@ -1,3 +1,5 @@
+// Lock-free budget for retries and hedges.
+
 #include "request/retry.h"
 
 #include <algorithm>
@@ -7,16 +9,16 @@
 namespace {
 
 constexpr std::int64_t OneRetry = 1000;
-// Enough for the requests of one lost group; more would be a storm.
-constexpr std::int64_t MostSaved = 64 * OneRetry;
+// Enough for the requests of one lost group; more could cause a retry storm.
+constexpr std::int64_t MaxSaved = 64 * OneRetry;
 
 } // namespace
 
 void RetryBudget::earn(double share) {
     const auto earned = static_cast<std::int64_t>(share * static_cast<double>(OneRetry));
     std::int64_t now = milli_.load(std::memory_order_relaxed);
-    while (now < MostSaved && !milli_.compare_exchange_weak(now, std::min(now + earned, MostSaved),
-                                                            std::memory_order_relaxed)) {
+    while (now < MaxSaved && !milli_.compare_exchange_weak(now, std::min(now + earned, MaxSaved),
+                                                           std::memory_order_relaxed)) {
     }
 }
 
--- a/src/request/retry.h
+++ b/src/request/retry.h
@@ -1,3 +1,5 @@
+// Budget for retries and hedges at liftweir-entry.
+
 #ifndef RETRY_H_INCLUDED
 #define RETRY_H_INCLUDED
 
@@ -6,18 +8,18 @@
 
 namespace liftweir {
 
-// Retries and hedges are paid for by recent successes, so that they can never multiply the load
-// of a system that has stopped succeeding. Lock-free.
+// Recent successes earn retries and hedges, so that retries can never multiply the load of a system
+// whose requests fail. Lock-free.
 class RetryBudget {
   public:
-    // A success earns this part of a retry.
+    // A success adds this part of a retry to the budget.
     void earn(double share);
-    // False where no retry is left.
+    // Takes one retry; false if none is left.
     bool take();
     double left() const;
 
   private:
-    // In thousandths of a retry. The first few are free, so that a fresh process may retry.
+    // In thousandths of a retry. A newly started process begins with ten retries.
     std::atomic<std::int64_t> milli_{10'000};
 };
 
--- a/src/request/routing.cpp
+++ b/src/request/routing.cpp
@@ -1,3 +1,5 @@
+// Choice of an endpoint for each attempt at liftweir-entry.
+
 #include "request/routing.h"
 
 #include <algorithm>
@@ -8,16 +10,16 @@
 
 namespace {
 
-// Reports of load fade: a depth of a second ago says little about an engine that answers tens of
-// requests a second.
+// Load reports lose weight with age: a queue depth from a second ago says little about an engine
+// that answers tens of requests per second.
 constexpr double DepthHalfLifeSeconds = 0.5;
-// Another zone costs a millisecond or two: about as much as half a queued request.
+// Another zone costs one or two milliseconds, about as much as half a queued request.
 constexpr double OtherZonePenalty = 0.5;
-constexpr double FirstTokenGain = 0.2;
-constexpr std::uint32_t SamplesToJudge = 8;
-// One request in so many still goes to an ejected endpoint, to notice that it recovered.
+constexpr double FirstTokenSmoothing = 0.2;
+constexpr std::uint32_t MinSamples = 8;
+// One request in this many may still go to an ejected endpoint, to detect its recovery.
 constexpr unsigned ProbeOneIn = 50;
-// Long enough to tell prompts apart, short enough to be the same for one template.
+// Long enough to distinguish prompts, short enough to be equal for prompts of one template.
 constexpr std::size_t PrefixBytes = 512;
 
 double seconds(std::int64_t ns) {
@@ -39,7 +41,7 @@
     const double s = seconds(first_token.count());
     const double old = stats.first_token_s.load(std::memory_order_relaxed);
     const bool first = stats.samples.fetch_add(1, std::memory_order_relaxed) == 0;
-    stats.first_token_s.store(first ? s : old * (1 - FirstTokenGain) + s * FirstTokenGain,
+    stats.first_token_s.store(first ? s : old * (1 - FirstTokenSmoothing) + s * FirstTokenSmoothing,
                               std::memory_order_relaxed);
 }
 
@@ -78,7 +80,7 @@
     return out;
 }
 
-// The own requests are known exactly; those of other entry hosts only through reports that age.
+// This host's own requests are known exactly, those of other entry hosts only from load reports.
 double Router::load(const Target& target, Time now) const {
     const TargetStats& stats = *target.stats;
     const double own = stats.in_flight.load(std::memory_order_relaxed);
@@ -95,29 +97,29 @@
 
 std::vector<const Target*> Router::slow_targets(const std::vector<const Target*>& ready,
                                                 const RoutingRules& rules) {
-    std::vector<const Target*> judged;
+    std::vector<const Target*> measured;
     for (const Target* target : ready)
-        if (target->stats->samples.load(std::memory_order_relaxed) >= SamplesToJudge)
-            judged.push_back(target);
+        if (target->stats->samples.load(std::memory_order_relaxed) >= MinSamples)
+            measured.push_back(target);
     const auto allowed =
         static_cast<std::size_t>(rules.ejection_share * static_cast<double>(ready.size()));
-    if (!rules.ejection || judged.size() < 3 || allowed == 0)
+    if (!rules.ejection || measured.size() < 3 || allowed == 0)
         return {};
     const auto time_of = [](const Target* t) {
         return t->stats->first_token_s.load(std::memory_order_relaxed);
     };
-    std::sort(judged.begin(), judged.end(),
+    std::sort(measured.begin(), measured.end(),
               [&](const Target* a, const Target* b) { return time_of(a) > time_of(b); });
-    const double median = time_of(judged[judged.size() / 2]);
+    const double median = time_of(measured[measured.size() / 2]);
     std::vector<const Target*> slow;
-    for (const Target* target : judged)
+    for (const Target* target : measured)
         if (slow.size() < allowed && time_of(target) > rules.ejection_ratio * median)
             slow.push_back(target);
     return slow;
 }
 
-// Rendezvous hashing: the same prefix meets the same group while the groups stay the same, and
-// only that group's prefixes move when it goes. A loaded group passes to the next in the order.
+// Rendezvous hashing: a prefix maps to the same group while the groups stay the same, and if a
+// group disappears only its prefixes move. The next group in the order replaces an overloaded one.
 const Target* Router::by_prefix(const std::vector<const Target*>& ready, const RoutingRules& rules,
                                 std::uint64_t prefix, Time now) const {
     double total = 0;
--- a/src/request/routing.h
+++ b/src/request/routing.h
@@ -1,3 +1,5 @@
+// Picks the endpoint for each attempt at liftweir-entry, by load, prompt prefix and latency.
+
 #ifndef ROUTING_H_INCLUDED
 #define ROUTING_H_INCLUDED
 
@@ -11,25 +13,25 @@
 
 namespace liftweir {
 
-// What a choice of endpoint depends on.
+// What a request requires of its endpoint.
 struct RouteQuery {
     std::string adapter;
-    std::uint64_t prefix = 0;         // hash of the prompt's beginning; 0 for none
+    std::uint64_t prefix = 0;         // hash of the beginning of the prompt; 0 for none
     std::vector<std::uint64_t> avoid; // endpoints that failed this request, by target_id
-    std::string model_version;        // needed version; empty for any
+    std::string model_version;        // required version; empty for any
     bool must_resume = false;
 };
 
-// Picks the endpoint for one attempt. One per thread; reads only atomics and the table.
+// Each thread has its own router, which reads only atomics and the table.
 class Router {
   public:
     Router(std::string zone, std::uint64_t seed) : zone_(std::move(zone)), random_(seed) {}
 
-    // Null where no endpoint is ready.
+    // Null if no endpoint is ready.
     const Target* pick(const std::vector<Target>& targets, const RoutingRules& rules,
                        const RouteQuery& query, Time now);
 
-    // Marks as ejected, within the allowed share, what is slow relative to its peers.
+    // Targets to eject because they are slow relative to their peers, within the allowed share.
     static std::vector<const Target*> slow_targets(const std::vector<const Target*>& ready,
                                                    const RoutingRules& rules);
 
@@ -46,12 +48,12 @@
     std::size_t next_ = 0;
 };
 
-// Names an endpoint in one incarnation and epoch, for as long as its statistics live.
+// Identifies an endpoint in one incarnation and epoch for the lifetime of its statistics.
 std::uint64_t target_id(const Target& target);
 
-// Smooths a measured time to the first token into the endpoint's statistics.
+// Adds a measured time to first token to the endpoint's smoothed statistics.
 void record_first_token(TargetStats& stats, Duration first_token);
-// Takes over an endpoint's own report of its load.
+// Stores the load that an endpoint reported.
 void record_queue_depth(TargetStats& stats, std::uint32_t running, std::uint32_t waiting, Time now);
 
 // Hash of the part of a prompt that engines are likely to have cached.
--- a/src/request/stalldetector.h
+++ b/src/request/stalldetector.h
@@ -1,3 +1,5 @@
+// Detects stalled groups from the streams of one entry host (liftweir-site-entry).
+
 #ifndef STALLDETECTOR_H_INCLUDED
 #define STALLDETECTOR_H_INCLUDED
 
@@ -7,33 +9,32 @@
 
 namespace liftweir {
 
-// Notices that a group stands still, from the streams that one entry host has there. A pass of
-// the engine moves every stream that writes, so silence on all of them for longer than any pass
-// can take means that a member is gone, long before the group itself reports it.
+// Each forward pass of the engine advances all decoding streams of the group. If none of them has
+// an event for longer than any pass can take, a member was lost; this shows long before the group
+// itself reports it.
 class StallDetector {
   public:
-    // Longest pass of the group's engine, and how long a first event may take; from the engine's
-    // figures.
+    // Sets the longest forward pass of the group's engine and the longest time until a first event,
+    // both from the engine's cost model.
     void expect(Duration longest_pass, Duration first_event);
     void started(Time now);
-    // An event came from the group; `first` where it was the first one of its stream.
+    // A stream received an event; `first` if it is the stream's first one.
     void progress(Time now, bool first);
-    // A stream that had begun to write, or had not, is over.
-    void ended(bool wrote);
+    // A stream ended; `had_event` if it had received its first event.
+    void ended(bool had_event);
 
-    // For how long all streams have stood still; zero where none is waiting or it is too early to
-    // tell.
+    // How long all streams have had no event; zero before the timeout or if there is no stream.
     Duration stalled(Time now) const;
-    // Smoothed time between two passes that moved a stream.
+    // Smoothed time between two passes that advanced a stream.
     double pass_ms() const { return pass_ms_; }
-    std::uint32_t waiting() const { return writing_ + reading_; }
+    std::uint32_t waiting() const { return decoding_ + prefilling_; }
 
   private:
-    Duration patience() const;
+    Duration timeout() const;
 
-    std::uint32_t writing_ = 0;
-    std::uint32_t reading_ = 0;
-    Time last_{}; // progress, or the start of the first of the present streams
+    std::uint32_t decoding_ = 0;
+    std::uint32_t prefilling_ = 0;
+    Time last_progress_{}; // last event, or the start of the first of the present streams
     double pass_ms_ = 0;
     Duration longest_pass_{};
     Duration first_event_{};
--- a/src/request/startupqueue.h
+++ b/src/request/startupqueue.h
@@ -1,3 +1,5 @@
+// Queue for requests that reach liftweir-site-entry before it has received its first settings.
+
 #ifndef STARTUPQUEUE_H_INCLUDED
 #define STARTUPQUEUE_H_INCLUDED
 
@@ -9,32 +11,32 @@
 
 namespace liftweir {
 
-// Requests that came before this entry host had its first settings. They are answered as soon as it
-// has them; a caller that would have to be refused loses one of its few tries.
+// Holds early requests until the first settings arrive or the hold time ends. Rejecting them at
+// once would cost each caller one of its few attempts.
 class StartupQueue {
   public:
     struct QueuedRequest {
         std::shared_ptr<HttpExchange> exchange;
         CallerRequest request;
-        Time until{}; // given up then
+        Time until{}; // rejected then
     };
 
-    // False where no more are held: the request is to be refused at once.
+    // False if the queue is full: the request has to be rejected at once.
     bool take(const std::shared_ptr<HttpExchange>& exchange, const CallerRequest& request,
               Time now);
-    // All whose callers still wait, in the order of their arrival.
+    // Takes out all requests whose callers are still connected, in the order of their arrival.
     std::vector<QueuedRequest> release();
-    // Those that have waited for too long, and are to be refused now.
+    // Takes out the requests whose hold time has ended and that have to be rejected now.
     std::vector<QueuedRequest> expired(Time now);
-    std::size_t size() const { return held_.size(); }
+    std::size_t size() const { return queued_.size(); }
 
   private:
     struct Entry {
-        QueuedRequest held;
-        std::shared_ptr<bool> gone; // the caller left
+        QueuedRequest queued;
+        std::shared_ptr<bool> disconnected; // the caller disconnected
     };
 
-    std::vector<Entry> held_;
+    std::vector<Entry> queued_;
 };
 
 } // namespace liftweir
--- a/src/request/windowedretrybudget.cpp
+++ b/src/request/windowedretrybudget.cpp
@@ -1,11 +1,13 @@
+// Budget for retries in a sliding window.
+
 #include "request/windowedretrybudget.h"
 
 namespace liftweir {
 
 namespace {
 
-// Part of what is permitted that is used: entry hosts count by themselves, and their shares of the
-// traffic are known with a delay.
+// Only this part of the permitted retries is used, since each entry host counts its own and knows
+// its share of the traffic with a delay.
 constexpr double UsedPart = 0.8;
 
 } // namespace
@@ -28,7 +30,7 @@
         if (slot.number + static_cast<std::int64_t>(Slots) < number)
             continue;
         total.requests += slot.requests;
-        total.repeats += slot.repeats;
+        total.retries += slot.retries;
     }
     return total;
 }
@@ -41,18 +43,18 @@
     const Slot total = sum(now);
     const double allowed =
         UsedPart * (ratio_ * total.requests + share_ * static_cast<double>(slack_));
-    return total.repeats + 1 <= allowed;
+    return total.retries + 1 <= allowed;
 }
 
 bool WindowedRetryBudget::take(Time now) {
     if (!has_left(now))
         return false;
-    ++slot(now).repeats;
+    ++slot(now).retries;
     return true;
 }
 
 std::uint32_t WindowedRetryBudget::used(Time now) {
-    return sum(now).repeats;
+    return sum(now).retries;
 }
 
 } // namespace liftweir
--- a/src/request/windowedretrybudget.h
+++ b/src/request/windowedretrybudget.h
@@ -1,3 +1,5 @@
+// Budget for retries at liftweir-site-entry, counted in a sliding window.
+
 #ifndef WINDOWEDRETRYBUDGET_H_INCLUDED
 #define WINDOWEDRETRYBUDGET_H_INCLUDED
 
@@ -8,9 +10,9 @@
 
 namespace liftweir {
 
-// Repeats that one entry host may send to one service in a sliding window: a ratio of its own
-// requests, and its part of a slack that all entry hosts share. Sends beyond the first one of a
-// request count, whether they were accepted or not.
+// Retries that one entry host may send to one service in a window: a ratio of its own requests plus
+// its share of a fixed number for all entry hosts. Every attempt after the first one of a request
+// counts, whether it was accepted or not.
 class WindowedRetryBudget {
   public:
     WindowedRetryBudget(Duration window, double ratio, std::uint32_t slack);
@@ -18,19 +20,19 @@
     void request(Time now);
     // Whether take() would succeed now.
     bool has_left(Time now) const;
-    // False where nothing is left.
+    // Takes one retry; false if none is left.
     bool take(Time now);
-    // This entry host's part of all requests, 0 to 1.
+    // Sets this entry host's share of all requests, 0 to 1.
     void set_share(double share) { share_ = share; }
     std::uint32_t used(Time now);
 
   private:
-    // Ten slots to a window: a count is at most a tenth of the window too old.
+    // Ten slots per window: a count is outdated by at most a tenth of the window.
     static constexpr std::size_t Slots = 10;
     struct Slot {
         std::int64_t number = -1;
         std::uint32_t requests = 0;
-        std::uint32_t repeats = 0;
+        std::uint32_t retries = 0;
     };
 
     Slot& slot(Time now);
@@ -39,7 +41,7 @@
     Duration window_;
     double ratio_;
     std::uint32_t slack_;
-    double share_ = 0.1; // until control says more
+    double share_ = 0.1; // until control has reported the load of the other entry hosts
     std::array<Slot, Slots + 1> slots_{};
 };
 
--- a/tests/unit/call_test.cpp
+++ b/tests/unit/call_test.cpp
@@ -10,7 +10,7 @@
 
 constexpr Time Start{std::chrono::seconds(100)};
 
-class Places final : public EndpointPicker {
+class FakePicker final : public EndpointPicker {
   public:
     std::optional<Place> place(const CallSpec&, const std::vector<std::uint64_t>& avoid,
                                bool must_resume, const std::string& version, Time) override {
@@ -60,18 +60,18 @@
     return reply;
 }
 
-TEST(Call, WhatMayNotBeRepeatedIsNotSentAgainAfterALostLink) {
-    Places places;
-    Call call(spec(false), places);
+TEST(Call, NonRepeatableCallIsNotRetriedAfterALostLink) {
+    FakePicker picker;
+    Call call(spec(false), picker);
     sent(call.start(Start));
     const auto actions = call.on_link_lost("a1", Start);
     EXPECT_TRUE(all<SendAttempt>(actions).empty());
     EXPECT_EQ(all<FailCall>(actions).at(0).outcome, Outcome::Unknown);
 }
 
-TEST(Call, ARefusalIsTriedElsewhereAndStaysNotRun) {
-    Places places;
-    Call call(spec(false), places);
+TEST(Call, RefusedAttemptIsRetriedElsewhereAndReportedAsNotRun) {
+    FakePicker picker;
+    Call call(spec(false), picker);
     AttemptId id = sent(call.start(Start));
     id = sent(call.on_refused({id, FailureKind::Draining, 0, 0, 0}, Start));
     id = sent(call.on_refused({id, FailureKind::Draining, 0, 0, 0}, Start));
@@ -81,9 +81,9 @@
     EXPECT_GE(all<FailCall>(end)[0].retry_after, std::chrono::milliseconds(700));
 }
 
-TEST(Call, NothingLeavesBeforeTheClaimStands) {
-    Places places;
-    Call call(spec(false, false, "key"), places);
+TEST(Call, NoAttemptIsSentBeforeTheClaimIsCommitted) {
+    FakePicker picker;
+    Call call(spec(false, false, "key"), picker);
     const auto begin = call.start(Start);
     EXPECT_TRUE(all<SendAttempt>(begin).empty());
     const AttemptId claim = all<SendClaim>(begin).at(0).id;
@@ -95,46 +95,46 @@
     EXPECT_EQ(all<WholeAnswer>(end).at(0).answer.body, "body");
 }
 
-TEST(Call, WithoutControlNothingIsRunAndTheClaimIsDropped) {
-    Places places;
-    Call call(spec(false, false, "key"), places);
+TEST(Call, WithoutControlNoAttemptIsSentAndTheClaimIsDropped) {
+    FakePicker picker;
+    Call call(spec(false, false, "key"), picker);
     call.start(Start);
     const auto end = call.on_timer(Start + std::chrono::seconds(2));
     EXPECT_EQ(all<FailCall>(end).at(0).outcome, Outcome::NotRun);
     EXPECT_EQ(all<SendDropClaim>(end).size(), 1u);
 }
 
-TEST(Call, AShortStreamIsNeverCalledWhole) {
-    Places places;
-    Call call(spec(true), places);
+TEST(Call, TruncatedResponseIsNotReportedAsComplete) {
+    FakePicker picker;
+    Call call(spec(true), picker);
     const AttemptId id = sent(call.start(Start));
     call.on_head({id, 200, "t"}, Start);
     call.on_chunk({id, 0, 0, "half"}, Start);
     const auto end = call.on_end({id, 2, 8, 0, 0}, Start);
     EXPECT_TRUE(all<WholeAnswer>(end).empty());
-    EXPECT_EQ(all<SendAttempt>(end).size(), 1u) << "repeatable: again elsewhere";
+    EXPECT_EQ(all<SendAttempt>(end).size(), 1u) << "repeatable: retried elsewhere";
 }
 
-TEST(Call, AStreamResumesAtTheTokenThatTheCallerHas) {
-    Places places;
-    Call call(spec(true, true), places);
+TEST(Call, StreamResumesAfterTheLastTokenThatTheCallerReceived) {
+    FakePicker picker;
+    Call call(spec(true, true), picker);
     AttemptId id = sent(call.start(Start));
     call.on_head({id, 200, "text/event-stream"}, Start);
     call.on_chunk({id, 0, 3, "abc"}, Start);
     const auto again = call.on_broken({id, true, FailureKind::EndpointFailed}, Start);
     ASSERT_EQ(all<SendAttempt>(again).size(), 1u);
     EXPECT_EQ(all<SendAttempt>(again)[0].resume_tokens, 3u);
-    // A late chunk of the first attempt is not spliced in.
+    // A delayed chunk of the first attempt is dropped.
     EXPECT_TRUE(call.on_chunk({id, 1, 4, "d"}, Start).empty());
     id = all<SendAttempt>(again)[0].id;
     call.on_head({id, 200, "text/event-stream"}, Start);
     EXPECT_EQ(all<StreamBytes>(call.on_chunk({id, 0, 4, "D"}, Start)).at(0).bytes, "D");
 }
 
-TEST(Call, AStreamThatCanNotBeResumedEndsWithATypedError) {
-    Places places;
-    places.resumes = false;
-    Call call(spec(true, true), places);
+TEST(Call, StreamThatCanNotBeResumedEndsWithATypedError) {
+    FakePicker picker;
+    picker.resumes = false;
+    Call call(spec(true, true), picker);
     const AttemptId id = sent(call.start(Start));
     call.on_head({id, 200, "text/event-stream"}, Start);
     call.on_chunk({id, 0, 3, "abc"}, Start);
@@ -145,18 +145,18 @@
 }
 
 TEST(Call, WithoutBudgetNothingIsRetried) {
-    Places places;
-    places.budget = 0;
-    Call call(spec(true), places);
+    FakePicker picker;
+    picker.budget = 0;
+    Call call(spec(true), picker);
     sent(call.start(Start));
     EXPECT_TRUE(all<SendAttempt>(call.on_link_lost("a1", Start)).empty());
 }
 
-TEST(Call, AHedgeRunsBesideTheFirstAndOnlyOneWins) {
-    Places places;
+TEST(Call, HedgeRunsInParallelAndOnlyOneAttemptWins) {
+    FakePicker picker;
     CallSpec s = spec(true, true);
     s.hedge_after = std::chrono::milliseconds(100);
-    Call call(s, places);
+    Call call(s, picker);
     const AttemptId first = sent(call.start(Start));
     const AttemptId hedge = sent(call.on_timer(Start + std::chrono::milliseconds(100)));
     EXPECT_NE(first, hedge);
@@ -166,10 +166,10 @@
     EXPECT_TRUE(call.on_chunk({first, 0, 1, "y"}, Start).empty());
 }
 
-TEST(Call, WhatLooksAsIfItEndedItsEndpointIsSentToNoOther) {
+TEST(Call, RequestSuspectedOfACrashIsNotRetried) {
     for (const bool streamed : {false, true}) {
-        Places places;
-        Call call(spec(true, streamed), places);
+        FakePicker picker;
+        Call call(spec(true, streamed), picker);
         const AttemptId id = sent(call.start(Start));
         const auto end = call.on_broken({id, true, FailureKind::EndpointFailed, true, true}, Start);
         EXPECT_TRUE(all<SendAttempt>(end).empty());
@@ -179,12 +179,12 @@
     }
 }
 
-TEST(Call, WhatWasLostWithAGroupGoesToOneMoreAndNoFurther) {
-    Places places;
-    places.count = 8;
+TEST(Call, RequestOfALostGroupIsSentToOneMoreGroupAtMost) {
+    FakePicker picker;
+    picker.count = 8;
     CallSpec s = spec(true);
     s.max_attempts = 8;
-    Call call(s, places);
+    Call call(s, picker);
     AttemptId id = sent(call.start(Start));
     id = sent(call.on_refused({id, FailureKind::Overloaded, 0, 0, 0}, Start));
     id = sent(call.on_broken({id, true, FailureKind::EndpointFailed, true, false}, Start));
@@ -194,11 +194,11 @@
     EXPECT_EQ(all<FailCall>(end).at(0).outcome, Outcome::Unknown);
 }
 
-TEST(Call, AHedgeOfASuspectIsCancelled) {
-    Places places;
+TEST(Call, HedgeOfASuspectedRequestIsCancelled) {
+    FakePicker picker;
     CallSpec s = spec(true);
     s.hedge_after = std::chrono::milliseconds(100);
-    Call call(s, places);
+    Call call(s, picker);
     const AttemptId first = sent(call.start(Start));
     const AttemptId hedge = sent(call.on_timer(Start + std::chrono::milliseconds(100)));
     const auto end = call.on_broken({first, true, FailureKind::EndpointFailed, true, true}, Start);
@@ -206,17 +206,18 @@
     EXPECT_EQ(all<FailCall>(end).size(), 1u);
 }
 
-// A world with endpoints that refuse, run, break before or after running, and lose links at random.
-TEST(Call, TellsTheTruthUnderRandomEndpoints) {
+// Random endpoints refuse, run, fail before or after running, or lose their links. A call must not
+// report "not run" for a request that ran, nor run a non-repeatable request twice.
+TEST(Call, ReportsTheTrueOutcomeUnderRandomEndpoints) {
     EXPECT_TRUE(rc::check([] {
-        Places places;
-        places.count = *rc::gen::inRange<std::uint64_t>(1, 5);
-        places.budget = *rc::gen::inRange(0, 4);
+        FakePicker picker;
+        picker.count = *rc::gen::inRange<std::uint64_t>(1, 5);
+        picker.budget = *rc::gen::inRange(0, 4);
         const bool repeatable = *rc::gen::arbitrary<bool>();
         const bool claims = *rc::gen::arbitrary<bool>();
-        Call call(spec(repeatable, false, claims ? "key" : ""), places);
+        Call call(spec(repeatable, false, claims ? "key" : ""), picker);
         int runs = 0;
-        int losses = 0;
+        int groups_lost = 0;
         bool suspected = false;
         std::deque<CallAction> todo;
         const auto add = [&](CallActions actions) {
@@ -242,34 +243,34 @@
             const auto* s = std::get_if<SendAttempt>(&action);
             if (s == nullptr)
                 continue;
-            RC_ASSERT(losses < 2 && !suspected);
+            RC_ASSERT(groups_lost < 2 && !suspected);
             switch (*rc::gen::inRange(0, 7)) {
             case 0: // refused
                 add(call.on_refused({s->id, FailureKind::Overloaded, 10, 0, 0}, Start));
                 break;
-            case 1: // broke before it started
+            case 1: // failed before it ran
                 add(call.on_broken({s->id, false, FailureKind::EndpointFailed}, Start));
                 break;
-            case 6: // ran, and its endpoint's process ended
+            case 6: // ran, and the endpoint's process exited
                 ++runs;
-                ++losses;
+                ++groups_lost;
                 suspected = *rc::gen::arbitrary<bool>();
                 add(call.on_broken({s->id, true, FailureKind::EndpointFailed, true, suspected},
                                    Start));
                 break;
             case 2: // ran, link lost
                 ++runs;
-                ++losses;
+                ++groups_lost;
                 add(call.on_link_lost(s->place.address, Start));
                 break;
-            case 3: // ran, broke half way
+            case 3: // ran and failed half way
                 ++runs;
                 add(call.on_head({s->id, 200, "t"}, Start));
                 add(call.on_chunk({s->id, 0, 0, "he"}, Start));
                 add(call.on_broken({s->id, true, FailureKind::EndpointFailed}, Start));
                 break;
-            case 4: // lost link, never ran
-                ++losses;
+            case 4: // link lost, never ran
+                ++groups_lost;
                 add(call.on_link_lost(s->place.address, Start));
                 break;
             default:
--- a/tests/unit/callerapi_test.cpp
+++ b/tests/unit/callerapi_test.cpp
@@ -8,7 +8,7 @@
 namespace liftweir {
 namespace {
 
-// A caller's request without a connection.
+// An HTTP request without a connection.
 class Request final : public HttpExchange {
   public:
     std::string_view method() const override { return method_; }
@@ -69,13 +69,13 @@
 
 void expect_refused(const Expected<ParsedCall>& call, const std::string& what,
                     const std::string& field) {
-    ASSERT_FALSE(call.has_value()) << what << " was passed on";
+    ASSERT_FALSE(call.has_value()) << what << " was forwarded";
     EXPECT_EQ(call.error().kind, FailureKind::BadRequest) << what;
     EXPECT_EQ(call.error().detail.find(field + ":"), 0u)
         << what << " is answered with '" << call.error().detail << "'";
 }
 
-TEST(CallerApi, AFieldOutOfItsBoundIsRefusedByNameAndNotPassedOn) {
+TEST(CallerApi, FieldOutOfBoundsIsRejectedByNameAndNotForwarded) {
     for (const std::string field : {"max_tokens", "max_completion_tokens", "min_tokens", "n",
                                     "best_of", "logprobs", "top_k", "seed"})
         for (const std::string value : {"-9223372036854775809", "0.5", "1e3", "1e99",
@@ -101,7 +101,7 @@
         expect_refused(parse(completion("\"logit_bias\":" + value)), value, "logit_bias");
 }
 
-TEST(CallerApi, ModelPromptAndMessagesHaveTheirTypes) {
+TEST(CallerApi, ModelPromptAndMessagesMustHaveTheirTypes) {
     for (const std::string value : {"5", "null", "[]", "\"\"", "true"})
         expect_refused(parse(R"({"prompt":"p","model":)" + value + "}"), "model " + value, "model");
     expect_refused(parse(R"({"prompt":"p","model":")" + std::string(300, 'a') + "\"}"),
@@ -118,14 +118,14 @@
                    "max_tokens of a chat", "max_tokens");
 }
 
-TEST(CallerApi, AFieldThatIsSaidTwiceIsRefusedSinceTheEngineMayReadTheOther) {
+TEST(CallerApi, DuplicateFieldIsRejectedSinceTheEngineMayReadTheOtherOne) {
     const auto call = parse(completion(R"("max_tokens":-5,"max_tokens":5)"));
     ASSERT_FALSE(call.has_value());
     EXPECT_EQ(call.error().kind, FailureKind::BadRequest);
 }
 
-// A number that no field is known by may still end what reads it.
-TEST(CallerApi, NumbersOfUnknownFieldsFitIntoWhatEnginesRead) {
+// A number in a field that liftweir does not know may still crash an engine that reads it.
+TEST(CallerApi, NumbersInUnknownFieldsMustFitIntoEngineIntegers) {
     for (const std::string value : {"99999999999999999999", "-99999999999999999999", "1e999",
                                     "[1,[99999999999999999999]]", "{\"x\":1e999}"}) {
         const auto call = parse(completion("\"some_extension\":" + value));
@@ -135,7 +135,7 @@
     EXPECT_TRUE(parse(completion(R"("some_extension":{"x":[1,-1,0.5,9007199254740993]})")));
 }
 
-TEST(CallerApi, HeadersAreRefusedByName) {
+TEST(CallerApi, InvalidHeadersAreRejectedByName) {
     const std::string body = completion("");
     for (const std::string value : {"-1", "0", "5.5", "1e3", "abc", "12x", " 5", "86400001",
                                     "9223372036854775807", "99999999999999999999"})
@@ -149,23 +149,23 @@
         expect_refused(parse(body, {{"Content-Type", value}}), "type " + value, "Content-Type");
 }
 
-TEST(CallerApi, WhatCallersSendIsPassedOnAsItWas) {
+TEST(CallerApi, ValidRequestIsForwardedUnchanged) {
     const auto plain = parse(completion(
         R"("max_tokens":64,"n":1,"temperature":0.7,"top_p":1,"stream":true,"stop":["a","b"],)"
         R"("seed":-9,"logprobs":null,"user":"u","logit_bias":{"50256":-100},"max_completion_tokens":null)"));
     ASSERT_TRUE(plain.has_value()) << plain.error().detail;
     EXPECT_EQ(plain->spec.expected_tokens, 64u);
     EXPECT_TRUE(plain->spec.streamed);
-    const auto talk = parse(
+    const auto chat_call = parse(
         chat(
             R"([{"role":"system","content":"s"},{"role":"user","content":[{"type":"text","text":"x"}]},)"
             R"({"role":"assistant","content":null,"tool_calls":[]},{"role":"tool","content":"r"}])",
             R"("logprobs":true,"top_logprobs":5,"max_completion_tokens":9)"),
         {{"Liftweir-Deadline-Ms", "250"}, {"Content-Type", "application/json; charset=utf-8"}},
         "/v1/chat/completions");
-    ASSERT_TRUE(talk.has_value()) << talk.error().detail;
-    EXPECT_EQ(talk->spec.deadline, Now + std::chrono::milliseconds(250));
-    EXPECT_EQ(talk->spec.expected_tokens, 9u);
+    ASSERT_TRUE(chat_call.has_value()) << chat_call.error().detail;
+    EXPECT_EQ(chat_call->spec.deadline, Now + std::chrono::milliseconds(250));
+    EXPECT_EQ(chat_call->spec.expected_tokens, 9u);
     EXPECT_TRUE(parse(completion("\"max_tokens\":0")));
     EXPECT_TRUE(parse(completion("\"max_tokens\":1048576")));
     EXPECT_TRUE(parse("{}", {{"Idempotency-Key", std::string(256, 'k')}}, "/services/quotes/save"));
@@ -202,7 +202,7 @@
     }
 }
 
-TEST(CallerApi, WhatIsPassedOnCanBeReadWhateverItHolds) {
+TEST(CallerApi, ForwardedRequestCanBeParsedByAnEngine) {
     EXPECT_TRUE(rc::check([] {
         static const std::vector<std::string> Fields = {
             "max_tokens", "n",      "stream", "temperature", "seed",    "stop",
--- a/tests/unit/callerwait_test.cpp
+++ b/tests/unit/callerwait_test.cpp
@@ -11,7 +11,7 @@
 constexpr Time Start = Time{} + seconds(100);
 constexpr Duration Limit = seconds(6);
 
-TEST(CallerWaitEstimator, WhoNamesLessThanTheOthersHasTriedBefore) {
+TEST(CallerWaitEstimator, CallerWithAShorterLimitThanTheOthersHasWaited) {
     CallerWaitEstimator waits;
     for (int i = 0; i < 100; ++i)
         EXPECT_EQ(waits.waited("r", milliseconds(5950), Limit, Start + milliseconds(i * 100)),
@@ -22,14 +22,14 @@
     EXPECT_EQ(waits.waited("r", milliseconds(900), Limit, later), Duration::zero());
 }
 
-// Right after a start there is nothing to compare with but what operators set.
-TEST(CallerWaitEstimator, TheRoutesTimeoutIsBelievedUntilCallersWereSeen) {
+// Right after the start of the process only the configured timeout is known.
+TEST(CallerWaitEstimator, RouteTimeoutIsUsedUntilCallersWereCounted) {
     CallerWaitEstimator waits;
     EXPECT_EQ(waits.waited("r", milliseconds(4500), Limit, Start), milliseconds(1500));
     EXPECT_EQ(waits.waited("r", milliseconds(5990), Limit, Start), Duration::zero());
 }
 
-TEST(CallerWaitEstimator, CallersWithLimitsOfTheirOwnHaveNotWaited) {
+TEST(CallerWaitEstimator, CallersWithDifferentLimitsHaveNotWaited) {
     CallerWaitEstimator waits;
     const auto limit_of = [](int i) { return milliseconds(3000 + (i * 7919) % 3000); };
     for (int i = 0; i < 300; ++i)
@@ -39,20 +39,20 @@
                   Duration::zero());
 }
 
-TEST(CallerWaitEstimator, WhoWouldHaveComeBackSoonerThanAnyoneIsToldToHasNotWaited) {
+TEST(CallerWaitEstimator, LimitShortByLessThanTheMinRetryDelayMeansNoWait) {
     CallerWaitEstimator waits;
     for (int i = 0; i < 200; ++i) {
-        const auto patience = milliseconds(5150 + (i * 7919) % 850);
-        EXPECT_EQ(waits.waited("often", patience, Limit, Start + milliseconds(i * 40)),
+        const auto time_limit = milliseconds(5150 + (i * 7919) % 850);
+        EXPECT_EQ(waits.waited("often", time_limit, Limit, Start + milliseconds(i * 40)),
                   Duration::zero());
-        EXPECT_EQ(waits.waited("seldom", patience, Limit, Start + seconds(i)), Duration::zero());
+        EXPECT_EQ(waits.waited("seldom", time_limit, Limit, Start + seconds(i)), Duration::zero());
     }
-    // They return after the second that they were told, and are known by it.
+    // Callers that return after the Retry-After of a second are recognised by their shorter limit.
     EXPECT_GE(waits.waited("new", milliseconds(4500), Limit, Start),
-              CallerWaitEstimator::SoonestReturn);
+              CallerWaitEstimator::MinRetryDelay);
 }
 
-TEST(CallerWaitEstimator, CallersOfSeldomRoutesAreLearnedToo) {
+TEST(CallerWaitEstimator, LimitIsLearnedOnARouteWithFewCalls) {
     CallerWaitEstimator waits;
     const auto limit_of = [](int i) { return milliseconds(6800 + (i * 7919) % 1200); };
     for (int i = 0; i < 45; ++i)
@@ -61,7 +61,7 @@
         EXPECT_EQ(waits.waited("r", limit_of(i), seconds(8), Start + seconds(i)), Duration::zero());
 }
 
-TEST(CallerWaitEstimator, CallersOfAShorterLimitThanTheRoutesAreLearned) {
+TEST(CallerWaitEstimator, LimitBelowTheRouteTimeoutIsLearned) {
     CallerWaitEstimator waits;
     for (int i = 0; i < 100; ++i)
         (void)waits.waited("r", seconds(4), Limit, Start + milliseconds(i * 110));
--- a/tests/unit/coldpace_test.cpp
+++ b/tests/unit/coldpace_test.cpp
@@ -1,5 +1,5 @@
-// Endpoints that have just started bear few requests a second, counted over all entry hosts, which
-// do not ask each other.
+// A cold endpoint can handle few requests per second from all entry hosts together, although the
+// hosts do not coordinate.
 
 #include "process/groupname.h"
 #include "request/directory.h"
@@ -19,7 +19,7 @@
 
 constexpr Time Start = Time{} + seconds(100);
 constexpr double ColdCallsPerSecond = 26;
-// What the operators allow in any one second beyond that.
+// Tolerated excess in any one second: a factor and a fixed number of requests.
 constexpr double Overshoot = 1.5;
 constexpr double Slack = 5;
 constexpr int WarmLeads = 3;
@@ -43,14 +43,13 @@
 }
 
 struct Outcome {
-    std::size_t most_in_a_second = 0;
+    std::size_t max_in_a_second = 0;
     int to_cold = 0;
     int refused = 0;
 };
 
-// Requests come at each of the entry hosts by chance, and one group is new to all of them at the
-// same moment.
-Outcome play(std::uint32_t seed, int entry_hosts, int calls_per_second, Duration time) {
+// Requests arrive at random entry hosts, and all hosts learn of one cold group at the same moment.
+Outcome simulate(std::uint32_t seed, int entry_hosts, int calls_per_second, Duration time) {
     const Service served = service();
     Demand demand;
     demand.service = &served;
@@ -75,34 +74,34 @@
         if (!pick || pick->endpoint != lead(WarmLeads, true).id)
             continue;
         EndpointUse& use = host.use(pick->endpoint);
-        if (pick->cold_every > Duration::zero())
-            use.cold.sent(pick->cold_every, now);
+        if (pick->cold_interval > Duration::zero())
+            use.cold.sent(pick->cold_interval, now);
         ++out.to_cold;
         arrivals.push_back(now);
         while (now - arrivals.front() >= seconds(1))
             arrivals.pop_front();
-        out.most_in_a_second = std::max(out.most_in_a_second, arrivals.size());
+        out.max_in_a_second = std::max(out.max_in_a_second, arrivals.size());
     }
     return out;
 }
 
-RC_GTEST_PROP(ColdEndpoint, GetsNoMoreThanItBearsFromAllEntryHostsTogether, ()) {
+RC_GTEST_PROP(ColdEndpoint, RequestRateOfAllEntryHostsTogetherIsLimited, ()) {
     const int entry_hosts = *rc::gen::element(1, 3, 5, 16, 30);
-    const Outcome out = play(*rc::gen::inRange<std::uint32_t>(1, 1u << 30), entry_hosts,
-                             *rc::gen::inRange(20, 400), seconds(4));
-    RC_ASSERT(out.most_in_a_second <= ColdCallsPerSecond * Overshoot + Slack);
+    const Outcome out = simulate(*rc::gen::inRange<std::uint32_t>(1, 1u << 30), entry_hosts,
+                                 *rc::gen::inRange(20, 400), seconds(4));
+    RC_ASSERT(out.max_in_a_second <= ColdCallsPerSecond * Overshoot + Slack);
     RC_ASSERT(out.refused == 0);
 }
 
-// It is used for what it bears.
-TEST(ColdEndpoint, IsUsedMeanwhile) {
+// A cold endpoint gets requests up to its permitted rate.
+TEST(ColdEndpoint, IsUsedWhileItIsCold) {
     for (const int entry_hosts : {3, 16}) {
-        const Outcome out = play(11, entry_hosts, 300, seconds(4));
+        const Outcome out = simulate(11, entry_hosts, 300, seconds(4));
         EXPECT_GT(out.to_cold, 2 * ColdCallsPerSecond) << entry_hosts;
     }
 }
 
-TEST(ColdEndpoint, IsBoundNoMoreOnceItSaysThatItIsWarm) {
+TEST(ColdEndpoint, IsNotLimitedOnceItReportsThatItIsWarm) {
     const Service served = service();
     Demand demand;
     demand.service = &served;
@@ -120,8 +119,8 @@
         EXPECT_TRUE(directory.pick(demand, {}, Start + seconds(1)));
 }
 
-// Where the operators set no bound, an endpoint that says that it is cold is like the others.
-TEST(ColdEndpoint, IsBoundOnlyWhereTheOperatorsSayHowMuchItBears) {
+// Without a configured rate, an endpoint that reports itself as cold is treated like the others.
+TEST(ColdEndpoint, IsNotLimitedWithoutAConfiguredRate) {
     Service served = service();
     served.cold_calls_per_second = 0;
     Demand demand;
@@ -131,7 +130,7 @@
     directory.registry().merge(lead(0, true), Start);
     const auto pick = directory.pick(demand, {}, Start);
     ASSERT_TRUE(pick);
-    EXPECT_EQ(pick->cold_every, Duration::zero());
+    EXPECT_EQ(pick->cold_interval, Duration::zero());
 }
 
 } // namespace
--- a/tests/unit/cputime.h
+++ b/tests/unit/cputime.h
@@ -1,3 +1,5 @@
+// Measures processor time for tests.
+
 #ifndef CPUTIME_H_INCLUDED
 #define CPUTIME_H_INCLUDED
 
@@ -7,7 +9,7 @@
 
 namespace liftweir {
 
-// What this thread has used of a processor: other work on the machine does not count.
+// Processor time that this thread has used, independent of other load on the machine.
 inline Duration cpu_time() {
     timespec t{};
     ::clock_gettime(CLOCK_THREAD_CPUTIME_ID, &t);
--- a/tests/unit/directory_test.cpp
+++ b/tests/unit/directory_test.cpp
@@ -19,8 +19,8 @@
     return report;
 }
 
-// An endpoint resets connections beyond its bound, which all entry hosts share.
-TEST(Directory, AnEndpointIsGivenNoMoreConnectionsThanThisHostsPartOfItsBound) {
+// An endpoint resets connections above its limit, which all entry hosts share.
+TEST(Directory, ConnectionsAreLimitedToThisHostsShare) {
     Directory directory(7);
     directory.registry().merge(plain("i-1", "10.0.0.1:80"), Start);
     directory.set_fleet_load_ratio(5);
@@ -38,7 +38,7 @@
     EXPECT_EQ(directory.pick(demand, {}, Start)->endpoint, "i-2");
 }
 
-TEST(Directory, ALongPromptIsLetInWhereAShortOneIs) {
+TEST(Directory, LongPromptIsAdmittedWhereAShortOneIs) {
     Directory directory(7);
     const Service service{"llm", 400, simulated_engine()};
     EndpointReport lead = plain("i-1", "10.0.0.1:80");
@@ -62,16 +62,16 @@
     }
 }
 
-// A host whose part is small now may get a crowd in the next second.
-TEST(Directory, SomeConnectionsAreAlwaysAllowed) {
+// A host with a small share of the load may receive a burst in the next second.
+TEST(Directory, MinimumOfConnectionsIsAlwaysAllowed) {
     Directory directory(7);
     directory.set_fleet_load_ratio(50);
     EXPECT_EQ(directory.connections_allowed({"app", 400, std::nullopt}), 25u);
     EXPECT_EQ(directory.connections_allowed({"app", 1, std::nullopt}), 2u);
 }
 
-// What was known before a restart never hides what was heard since.
-TEST(Registry, RemembersOnlyWhatNothingNewerIsKnownOf) {
+// A cached report from before a restart never replaces a report that was received since.
+TEST(Registry, CachedReportDoesNotReplaceANewerOne) {
     Registry registry;
     registry.merge(plain("new", "10.0.0.1:80"), Start);
     EXPECT_FALSE(registry.remember(plain("old", "10.0.0.1:80"), Start));
@@ -82,8 +82,8 @@
     EXPECT_EQ(registry.find("new")->report.phase, EndpointPhase::Serving);
 }
 
-// A copy of a registry tells when each endpoint was heard.
-TEST(Registry, AMergedReportIsAsOldAsItsSource) {
+// A copy of a registry keeps the time of each endpoint's last contact.
+TEST(Registry, MergedReportKeepsTheTimeOfItsSource) {
     Registry registry;
     registry.merge(plain("i-1", "10.0.0.1:80"), Start - std::chrono::seconds(9));
     EXPECT_EQ(registry.find("i-1")->last_contact, Start - std::chrono::seconds(9));
--- a/tests/unit/directoryscale_test.cpp
+++ b/tests/unit/directoryscale_test.cpp
@@ -1,4 +1,4 @@
-// What the choice of a group costs an entry host where there are a thousand groups.
+// Processor time that an entry host needs to choose among a thousand groups.
 
 #include "process/groupname.h"
 #include "request/directory.h"
@@ -14,18 +14,18 @@
 using std::chrono::seconds;
 
 constexpr Time Start = Time{} + seconds(100);
-// 13,000 requests a second over 90 entry hosts with 0.18 of a core each leave 1.25 ms of a core for
-// a request; the choice of its group takes no more than half of that.
-constexpr Duration MostOfOneChoice = microseconds(625);
+// 13,000 requests per second over 90 entry hosts with 0.18 of a core each leave 1.25 ms of a core
+// per request; the choice of the group may take half of that.
+constexpr Duration MaxTimePerChoice = microseconds(625);
 constexpr int Endpoints = 3000;
-constexpr int SizeOfLarge = 4;
-constexpr int SizeOfSmall = 2;
+constexpr int LargeGroupSize = 4;
+constexpr int SmallGroupSize = 2;
 
 EngineCost engine() {
     EngineCost e = simulated_engine();
     e.cross_domain_factor = 3;
-    e.models = {{"large", SizeOfLarge, 0.67, 1.0, seconds(16), {}},
-                {"small", SizeOfSmall, 0.33, 0.6, seconds(12), {}}};
+    e.models = {{"large", LargeGroupSize, 0.67, 1.0, seconds(16), {}},
+                {"small", SmallGroupSize, 0.33, 0.6, seconds(12), {}}};
     return e;
 }
 
@@ -55,14 +55,14 @@
     return demand;
 }
 
-TEST(DirectoryScale, AChoiceAmongFiveHundredGroupsTakesNoTimeToSpeakOf) {
+TEST(DirectoryScale, ChoiceAmongFiveHundredGroupsIsFast) {
     Directory directory(7);
     const Service service{"llm", 400, engine()};
     const int large = Endpoints * 2 / 3;
     for (int n = 0; n < Endpoints; ++n)
         directory.registry().merge(
-            n < large ? member(n, "large", SizeOfLarge, "d" + std::to_string(n / 1000))
-                      : member(n, "small", SizeOfSmall, "d" + std::to_string(n / 1000)),
+            n < large ? member(n, "large", LargeGroupSize, "d" + std::to_string(n / 1000))
+                      : member(n, "small", SmallGroupSize, "d" + std::to_string(n / 1000)),
             Start);
     constexpr int Choices = 20;
     for (const std::string model : {"large", "small"}) {
@@ -72,22 +72,22 @@
         for (int n = 0; n < Choices; ++n)
             ASSERT_TRUE(directory.pick(demand, {}, Start));
         const Duration each = (cpu_time() - begun) / Choices;
-        EXPECT_LT(each, MostOfOneChoice)
+        EXPECT_LT(each, MaxTimePerChoice)
             << model << ": " << to_exact_millis(each) << " ms of a core each";
     }
 }
 
-// However a group's members come, move and go, it is slower where they are in two domains.
-TEST(DirectoryScale, AGroupIsKnownToSpanDomainsAsItsMembersComeAndGo) {
+// A group is slower while its members are in two fabric domains, also after members changed.
+TEST(DirectoryScale, DomainSpanFollowsChangesOfTheMembers) {
     Directory directory(7);
     const Service service{"llm", 400, engine()};
     const Demand demand = demand_of(service, "small");
-    directory.registry().merge(member(0, "small", SizeOfSmall, "d0"), Start);
+    directory.registry().merge(member(0, "small", SmallGroupSize, "d0"), Start);
     const auto first_event_ms = [&] {
         return directory.pick(demand, {}, Start)->forecast.first_event_ms;
     };
     const double within = first_event_ms();
-    EndpointReport other = member(1, "small", SizeOfSmall, "d1");
+    EndpointReport other = member(1, "small", SmallGroupSize, "d1");
     directory.registry().merge(other, Start);
     const double across = first_event_ms();
     EXPECT_GT(across, 2 * within);
@@ -96,7 +96,7 @@
     directory.registry().merge(other, Start);
     EXPECT_EQ(first_event_ms(), within);
     ++other.sequence;
-    other.membership = member(1, "small", SizeOfSmall, "d1").membership;
+    other.membership = member(1, "small", SmallGroupSize, "d1").membership;
     directory.registry().merge(other, Start);
     EXPECT_EQ(first_event_ms(), across);
     directory.registry().forget(other.id);
--- a/tests/unit/heldback_test.cpp
+++ b/tests/unit/heldback_test.cpp
@@ -1,4 +1,5 @@
-// Endpoints that want no request of this entry host for now.
+// Endpoints that accept no request from this entry host for some time: in back-off, at their rate
+// limit, or leaving.
 
 #include "process/groupname.h"
 #include "request/directory.h"
@@ -26,9 +27,9 @@
     return report;
 }
 
-// Two endpoints, plain ones or leads.
-struct HeldBack : testing::TestWithParam<bool> {
-    HeldBack() {
+// Two endpoints that are either plain ones or leads of groups.
+struct ThrottledEndpoint : testing::TestWithParam<bool> {
+    ThrottledEndpoint() {
         if (GetParam())
             service.engine = simulated_engine();
         demand.service = &service;
@@ -49,42 +50,42 @@
     Directory directory{7};
 };
 
-INSTANTIATE_TEST_SUITE_P(PlainEndpointsAndLeads, HeldBack, testing::Bool());
+INSTANTIATE_TEST_SUITE_P(PlainEndpointsAndLeads, ThrottledEndpoint, testing::Bool());
 
-TEST_P(HeldBack, AnEndpointThatRestsIsLeftOutThoughItIsTheOnlyOne) {
+TEST_P(ThrottledEndpoint, EndpointInBackoffIsExcludedEvenIfItIsTheOnlyOne) {
     directory.back_off(first.id, seconds(3), Start);
     for (int n = 0; n < 20; ++n)
         EXPECT_EQ(directory.pick(demand, {}, Start)->endpoint, second.id);
     directory.back_off(second.id, seconds(2), Start);
     const NoPick all = none();
-    EXPECT_EQ(all.why, PickFailure::AllHeldBack);
+    EXPECT_EQ(all.why, PickFailure::AllThrottled);
     EXPECT_EQ(all.soonest, second.id);
     EXPECT_EQ(all.wait, seconds(2));
     EXPECT_EQ(directory.pick(demand, {}, Start + seconds(2))->endpoint, second.id);
 }
 
-TEST_P(HeldBack, ALaterShorterRestDoesNotEndALongerOne) {
+TEST_P(ThrottledEndpoint, ShorterBackoffDoesNotEndALongerOne) {
     directory.back_off(first.id, seconds(3), Start);
     directory.back_off(first.id, seconds(1), Start + milliseconds(100));
     EXPECT_EQ(none({second.id}, Start + seconds(2)).wait, seconds(1));
 }
 
-TEST_P(HeldBack, CallersOfRestingEndpointsReturnAfterTheRestAndNotTogether) {
+TEST_P(ThrottledEndpoint, RetryDelaysEndAfterTheBackoffAndDiffer) {
     directory.back_off(first.id, seconds(3), Start);
     directory.back_off(second.id, seconds(3), Start);
     std::set<Duration> returns;
     for (int n = 0; n < 50; ++n)
-        returns.insert(directory.return_after(none(), Start));
+        returns.insert(directory.retry_delay(none(), Start));
     EXPECT_GE(*returns.begin(), seconds(3));
     EXPECT_GT(*returns.rbegin() - *returns.begin(), milliseconds(500));
 }
 
-TEST_P(HeldBack, AnEndpointThatWasTriedTellsWhenItMayBeAskedAgain) {
+TEST_P(ThrottledEndpoint, TriedEndpointCountsForTheRetryDelay) {
     directory.back_off(first.id, seconds(3), Start);
     EXPECT_EQ(none({first.id, second.id}).wait, seconds(3));
 }
 
-TEST_P(HeldBack, ARestIsOfOneStart) {
+TEST_P(ThrottledEndpoint, BackoffIsOfOneIncarnation) {
     directory.back_off(first.id, seconds(3), Start);
     EndpointReport again = first;
     again.id.started_ms = 8;
@@ -93,27 +94,27 @@
     EXPECT_EQ(directory.pick(demand, {second.id}, Start + milliseconds(20))->endpoint, again.id);
 }
 
-TEST_P(HeldBack, ARestOutlastsThatTheEndpointIsForgottenForAWhile) {
+TEST_P(ThrottledEndpoint, BackoffOutlastsATemporaryRemovalOfTheEndpoint) {
     directory.back_off(first.id, seconds(3), Start);
     directory.registry().forget(first.id);
     directory.expire(Start + milliseconds(100));
     directory.registry().merge(first, Start + milliseconds(200));
-    EXPECT_EQ(none({second.id}, Start + milliseconds(300)).why, PickFailure::AllHeldBack);
+    EXPECT_EQ(none({second.id}, Start + milliseconds(300)).why, PickFailure::AllThrottled);
 }
 
-TEST_P(HeldBack, AnEndpointAtItsLimitIsLeftOut) {
+TEST_P(ThrottledEndpoint, EndpointAtItsLimitIsExcluded) {
     directory.limits().book().add_report(first.id, 2, Start);
     EXPECT_EQ(directory.pick(demand, {}, Start)->endpoint, second.id);
-    EXPECT_EQ(none({second.id}).why, PickFailure::AllHeldBack);
+    EXPECT_EQ(none({second.id}).why, PickFailure::AllThrottled);
 }
 
-TEST_P(HeldBack, AnEndpointThatLeavesIsLeftOutForGoodAndItsNextStartIsNot) {
+TEST_P(ThrottledEndpoint, LeavingEndpointIsExcludedForGoodButItsNextIncarnationIsNot) {
     EXPECT_TRUE(directory.note_leaving(first.id, Start));
     EXPECT_FALSE(directory.note_leaving(first.id, Start));
     directory.registry().forget(first.id);
     directory.expire(Start + seconds(30));
     directory.registry().merge(first, Start + seconds(30));
-    EXPECT_EQ(none({second.id}, Start + seconds(31)).why, PickFailure::NoneServes);
+    EXPECT_EQ(none({second.id}, Start + seconds(31)).why, PickFailure::NoneInService);
     EndpointReport again = first;
     again.id.started_ms = 8;
     again.membership.epoch = again.membership.epoch == NoEpoch ? NoEpoch : 9;
@@ -121,7 +122,7 @@
     EXPECT_EQ(directory.pick(demand, {second.id}, Start + seconds(33))->endpoint, again.id);
 }
 
-TEST(HeldBackLeads, ALeadThatFailedLatelyMayServeBeforeTheRestOfAnother) {
+TEST(ThrottledLeads, FailedLeadMayServeBeforeTheBackoffOfAnotherEnds) {
     Service service{"app", 100, simulated_engine()};
     Demand demand;
     demand.service = &service;
@@ -133,7 +134,7 @@
     directory.failed(report_of(1, true).id, Start);
     const auto pick = directory.pick(demand, {}, Start);
     ASSERT_FALSE(pick);
-    EXPECT_EQ(pick.error().why, PickFailure::NoneServes);
+    EXPECT_EQ(pick.error().why, PickFailure::NoneInService);
 }
 
 } // namespace
--- a/tests/unit/leveling_test.cpp
+++ b/tests/unit/leveling_test.cpp
@@ -1,4 +1,4 @@
-// What entry hosts tell each other of their work, and the choice by figures that are old.
+// Load reports between entry hosts, and load balancing with outdated ones.
 
 #include "request/entryloadtable.h"
 #include "request/leveling.h"
@@ -25,28 +25,28 @@
     return load;
 }
 
-// ---- choice
+// ---- load balancing
 
-TEST(Leveling, FillsTheLowerPlacesUpToOneLevel) {
+TEST(Leveling, FillsTheLowerTargetsToOneLevel) {
     const std::vector<double> levels = {100, 40, 10, 300};
     std::minstd_rand random(1);
     std::vector<int> chosen(levels.size());
     constexpr int Choices = 20000;
     for (int n = 0; n < Choices; ++n)
         ++chosen[choose_by_level(levels, 150, std::uniform_real_distribution<double>()(random))];
-    // 150 more bring the three lower ones to 100 each.
+    // An inflow of 150 raises the three lower targets to 100 each.
     EXPECT_EQ(chosen[0], 0);
     EXPECT_NEAR(chosen[1], Choices * 60 / 150, Choices / 50);
     EXPECT_NEAR(chosen[2], Choices * 90 / 150, Choices / 50);
     EXPECT_EQ(chosen[3], 0);
 }
 
-TEST(Leveling, TakesTheLowestWhereNothingElseComes) {
+TEST(Leveling, TakesTheLowestWithoutInflow) {
     EXPECT_EQ(choose_by_level({5, 3, 4}, 0, 0.99), 1u);
     EXPECT_EQ(choose_by_level({5}, 10, 1.0), 0u);
 }
 
-RC_GTEST_PROP(Leveling, NeverChoosesAPlaceAboveTheFilledLevel, ()) {
+RC_GTEST_PROP(Leveling, NeverChoosesATargetAboveTheFilledLevel, ()) {
     const auto raw = *rc::gen::nonEmpty(rc::gen::arbitrary<std::vector<std::uint16_t>>());
     const std::vector<double> levels(raw.begin(), raw.end());
     const double inflow = *rc::gen::inRange(0, 100000);
@@ -58,7 +58,7 @@
     RC_ASSERT(below <= inflow + 1e-6);
 }
 
-TEST(ArrivalRate, FollowsWhatArrives) {
+TEST(ArrivalRate, FollowsTheArrivals) {
     ArrivalRate rate;
     Time now = Start;
     for (int n = 0; n < 200; ++n)
@@ -67,61 +67,61 @@
     EXPECT_LT(rate.per_second(now + seconds(12)), 10);
 }
 
-// ---- what control tells
+// ---- load reports
 
-TEST(EntryLoadTable, TellsEachHostOfTheOthers) {
-    EntryLoadTable board;
-    board.tell("a", {{7, prefilling(1)}, {8, prefilling(2)}}, Start);
-    board.tell("b", {{8, prefilling(3)}}, Start);
-    EXPECT_EQ(board.load_of_others("a"), (std::vector<GroupLoadReport>{{8, prefilling(3)}}));
-    EXPECT_EQ(board.load_of_others("b"),
+TEST(EntryLoadTable, ReturnsTheLoadOfTheOtherHosts) {
+    EntryLoadTable table;
+    table.tell("a", {{7, prefilling(1)}, {8, prefilling(2)}}, Start);
+    table.tell("b", {{8, prefilling(3)}}, Start);
+    EXPECT_EQ(table.load_of_others("a"), (std::vector<GroupLoadReport>{{8, prefilling(3)}}));
+    EXPECT_EQ(table.load_of_others("b"),
               (std::vector<GroupLoadReport>{{7, prefilling(1)}, {8, prefilling(2)}}));
-    board.tell("a", {}, Start);
-    EXPECT_TRUE(board.load_of_others("b").empty());
-    EXPECT_EQ(board.load_of_others("c"), (std::vector<GroupLoadReport>{{8, prefilling(3)}}));
+    table.tell("a", {}, Start);
+    EXPECT_TRUE(table.load_of_others("b").empty());
+    EXPECT_EQ(table.load_of_others("c"), (std::vector<GroupLoadReport>{{8, prefilling(3)}}));
 }
 
-TEST(EntryLoadTable, ForgetsWhoTellsNothingMore) {
-    EntryLoadTable board;
-    board.tell("a", {{7, prefilling(1)}}, Start);
-    board.tell("b", {{7, prefilling(2)}}, Start + seconds(2));
-    board.expire(Start + seconds(2));
-    EXPECT_EQ(board.load_of_others("c"), (std::vector<GroupLoadReport>{{7, prefilling(2)}}));
-    board.expire(Start + seconds(9));
-    EXPECT_TRUE(board.empty());
+TEST(EntryLoadTable, ExpiresHostsWithoutReports) {
+    EntryLoadTable table;
+    table.tell("a", {{7, prefilling(1)}}, Start);
+    table.tell("b", {{7, prefilling(2)}}, Start + seconds(2));
+    table.expire(Start + seconds(2));
+    EXPECT_EQ(table.load_of_others("c"), (std::vector<GroupLoadReport>{{7, prefilling(2)}}));
+    table.expire(Start + seconds(9));
+    EXPECT_TRUE(table.empty());
 }
 
-RC_GTEST_PROP(EntryLoadTable, KeepsTheSumsOfAFreshCount, ()) {
-    EntryLoadTable board;
-    std::map<std::string, std::vector<GroupLoadReport>> told;
+RC_GTEST_PROP(EntryLoadTable, SumsEqualARecount, ()) {
+    EntryLoadTable table;
+    std::map<std::string, std::vector<GroupLoadReport>> reported;
     for (int n = *rc::gen::inRange(1, 30); n > 0; --n) {
         const std::string entry = *rc::gen::element<std::string>("a", "b", "c");
         std::vector<GroupLoadReport> shares;
         for (Epoch epoch = 1; epoch < 5; ++epoch)
             if (*rc::gen::arbitrary<bool>())
                 shares.push_back({epoch, prefilling(*rc::gen::inRange(1u, 9u))});
-        told[entry] = shares;
-        board.tell(entry, shares, Start);
+        reported[entry] = shares;
+        table.tell(entry, shares, Start);
     }
     std::map<Epoch, GroupLoad> sums;
-    for (const auto& [entry, shares] : told)
+    for (const auto& [entry, shares] : reported)
         for (const GroupLoadReport& share : shares)
             sums[share.epoch].add(share.load);
-    const auto all = board.load_of_others("nobody");
+    const auto all = table.load_of_others("nobody");
     RC_ASSERT(all.size() == sums.size());
     for (const GroupLoadReport& share : all)
         RC_ASSERT(share.load == sums.at(share.epoch));
 }
 
-TEST(EntryLoadTable, CostsAnEntryHostABoundedNumberOfBytes) {
-    EntryLoadTable board;
+TEST(EntryLoadTable, IntervalLimitsTheBytesPerEntryHost) {
+    EntryLoadTable table;
     std::vector<GroupLoadReport> shares;
     for (Epoch epoch = 1; epoch <= 1000; ++epoch)
         shares.push_back({epoch, prefilling(1)});
-    board.tell("a", {shares.begin(), shares.begin() + 30}, Start);
-    EXPECT_EQ(board.every(), LoadReportInterval);
-    board.tell("a", shares, Start);
-    EXPECT_GE(board.every(), seconds(2));
+    table.tell("a", {shares.begin(), shares.begin() + 30}, Start);
+    EXPECT_EQ(table.every(), LoadReportInterval);
+    table.tell("a", shares, Start);
+    EXPECT_GE(table.every(), seconds(2));
 }
 
 } // namespace
--- a/tests/unit/overload_test.cpp
+++ b/tests/unit/overload_test.cpp
@@ -1,4 +1,4 @@
-// Loads that are too much for the groups that are left, played in virtual time.
+// Loads that exceed the capacity of the remaining groups, simulated in virtual time.
 
 #include "unit/groupsimulator.h"
 
@@ -10,10 +10,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Five entry hosts before two groups, one of which is lost every 4.5 s and replaced after 0.9 s,
-// for 30 s with each of the seeds.
-std::vector<SimulatedResult> play_losses(const std::vector<SimulatedRequestKind>& kinds,
-                                         std::uint64_t seeds) {
+// Simulates five entry hosts and two groups for 30 s with each of the seeds. One group is lost
+// every 4.5 s and replaced after 0.9 s.
+std::vector<SimulatedResult> simulate_losses(const std::vector<SimulatedRequestKind>& kinds,
+                                             std::uint64_t seeds) {
     std::vector<Duration> losses;
     for (int i = 1; i <= 6; ++i)
         losses.push_back(i * milliseconds(4500));
@@ -32,24 +32,24 @@
     return sum;
 }
 
-TEST(Overload, CallersWithTheLongestPromptsAreRefusedLittleMoreOftenThanOthers) {
-    const auto results = play_losses({{33.8, 1400, 20}, {3.8, 5600, 20}}, 20);
+TEST(Overload, LongPromptsAreRejectedLittleMoreOften) {
+    const auto results = simulate_losses({{33.8, 1400, 20}, {3.8, 5600, 20}}, 20);
     EXPECT_LT(results[1].refused_part(), 1.25 * results[0].refused_part());
 }
 
-TEST(Overload, NewRequestsAreInTimeWhileBrokenStreamsGoOn) {
-    const auto results = play_losses({{23.2, 1460, 30}, {14.4, 2000, 5}}, 20);
+TEST(Overload, NewRequestsAreInTimeWhileBrokenStreamsResume) {
+    const auto results = simulate_losses({{23.2, 1460, 30}, {14.4, 2000, 5}}, 20);
     EXPECT_GT(results[0].in_time_part(), 0.47);
     EXPECT_GT(results[1].in_time_part(), 0.74);
 }
 
-TEST(Overload, GroupsRefuseWhomTheyWouldServeLateBeforeTheyAreHalfFull) {
-    const auto results = play_losses({{33.8, 1400, 20}, {3.8, 5600, 20}}, 100);
+TEST(Overload, LateRequestsAreRejectedBeforeGroupsAreHalfFull) {
+    const auto results = simulate_losses({{33.8, 1400, 20}, {3.8, 5600, 20}}, 100);
     EXPECT_GT(results[0].in_time_part(), 0.535);
     EXPECT_GT(results[1].in_time_part(), 0.455);
 }
 
-TEST(Balance, FiftyEntryHostsFindTheGroupsThatHaveRoom) {
+TEST(Balance, FiftyEntryHostsFindTheGroupsWithFreeSlots) {
     std::vector<Duration> losses;
     for (int i = 1; i <= 12; ++i)
         losses.push_back(i * milliseconds(1500));
