--- a/src/connection/wire.h
+++ b/src/connection/wire.h
@@ -242,10 +242,10 @@
 struct PeerHello {
     NodeId node = NoNode;
     std::vector<NodeId> nodes;
-    std::uint64_t registry = 0; // digest of the endpoints that it knows
-    bool settled = false;       // it has run for long enough to have a report from every endpoint
-    std::uint64_t term = 0;     // of its log; only earlier releases read it
-    MSGPACK_DEFINE(node, nodes, registry, settled, term)
+    std::uint64_t registry = 0;     // digest of the endpoints that it knows
+    bool registry_complete = false; // it has run long enough to have a report from every endpoint
+    std::uint64_t term = 0;         // of its log; only earlier releases read it
+    MSGPACK_DEFINE(node, nodes, registry, registry_complete, term)
 };
 
 // Reports of endpoints that the receiver may not have yet.
--- a/src/process/control.cpp
+++ b/src/process/control.cpp
@@ -26,7 +26,7 @@
 
 Expected<std::unique_ptr<Control>> Control::open(asio::io_context& io,
                                                  const ProcessConfig& config) {
-    auto storage = open_folder(config.data);
+    auto storage = open_directory(config.data);
     if (!storage)
         return tl::make_unexpected(storage.error());
     Voters bootstrap;
--- a/src/process/coordinator.cpp
+++ b/src/process/coordinator.cpp
@@ -52,7 +52,7 @@
                                                          const SiteConfig& config,
                                                          EndpointOrders& orders,
                                                          DocumentDecoder decode) {
-    auto storage = open_folder(config.data);
+    auto storage = open_directory(config.data);
     if (!storage)
         return tl::make_unexpected(storage.error());
     std::unique_ptr<Coordinator> coordinator(
@@ -77,13 +77,13 @@
     const bool founder =
         config_.first_start && std::find(seeds.begin(), seeds.end(), config_.ip) != seeds.end();
     for (int attempt = 0; attempt < 2; ++attempt) {
-        const auto node = node_of_folder(*storage_, config_.ip, founder && attempt == 0);
+        const auto node = node_of_directory(*storage_, config_.ip, founder && attempt == 0);
         Expected<void> opened = node ? open_replica_as(*node) : tl::make_unexpected(node.error());
         if (opened || opened.error().kind != FailureKind::Damaged)
             return opened;
         log(LogLevel::Error, "data directory is damaged; starting as a new node",
             {{"detail", opened.error().detail}});
-        if (auto emptied = empty_folder(); !emptied)
+        if (auto emptied = empty_directory(); !emptied)
             return emptied;
     }
     return fail(FailureKind::Damaged, "data directory is damaged even after it was emptied");
@@ -110,7 +110,7 @@
     return {};
 }
 
-Expected<void> Coordinator::empty_folder() {
+Expected<void> Coordinator::empty_directory() {
     const auto names = storage_->list();
     if (!names)
         return tl::make_unexpected(names.error());
@@ -375,7 +375,7 @@
 void Coordinator::acknowledge(const WaitingCall& item) {
     Metrics::instance()
         .histogram("liftweir_document_seconds")
-        .add(to_seconds(BootClock::now() - item.begun));
+        .add(to_seconds(BootClock::now() - item.started));
     item.done({});
 }
 
--- a/src/process/coordinator.h
+++ b/src/process/coordinator.h
@@ -34,10 +34,10 @@
 class EndpointOrders {
   public:
     virtual ~EndpointOrders() = default;
-    virtual void send(const EndpointOrder& order, std::function<void(OrderAnswer)> answered) = 0;
+    virtual void send(const EndpointOrder& order, std::function<void(OrderAnswer)> on_answer) = 0;
     // Asks an endpoint whether it is alive. Answers false where no answer came in time, or where
     // another incarnation answered at its address.
-    virtual void probe(const EndpointReport& endpoint, std::function<void(bool)> answered) = 0;
+    virtual void probe(const EndpointReport& endpoint, std::function<void(bool)> on_answer) = 0;
 };
 
 // Decodes the operators' document. Fails with BadSettings; never returns a part of a document.
@@ -75,11 +75,11 @@
 
     // Merges the registration of an endpoint. A rejected report changes nothing. An endpoint that
     // drains is announced to all hosts before this returns.
-    ReportFault report(const EndpointReport& report);
+    ReportFault merge_report(const EndpointReport& report);
     // Deregisters an endpoint, and announces that to all hosts before it returns.
-    void gone(EndpointId id);
+    void deregister(EndpointId id);
     // Counts a rejected report under the name, and logs it at a limited rate.
-    void refused(const std::string& name, ReportFault fault);
+    void note_rejected_report(const std::string& name, ReportFault fault);
 
   private:
     Coordinator(asio::io_context& io, SiteConfig config, EndpointOrders& orders,
@@ -114,13 +114,13 @@
     struct WaitingCall {
         Version version = 0;
         Done done;
-        Time begun{};
+        Time started{};
     };
 
     // storage and replicated log
     Expected<void> open_replica();
     Expected<void> open_replica_as(NodeId node);
-    Expected<void> empty_folder();
+    Expected<void> empty_directory();
     void storage_failed(const Failure& failure);
     void pump();
     void pump_soon();
@@ -164,7 +164,7 @@
     void check_addresses(Time now);
     void send_changes();
     void flush_alive();
-    bool settled(Time now) const;
+    bool registry_complete(Time now) const;
     void write_endpoint_cache(Time now);
     void on_digests(const Link::Ptr& link, const RegistryDigests& digests, Time now);
     void send_ranges(const Link::Ptr& link, const RangesRequested& wanted, Time now) const;
--- a/src/process/coordinatorlinks.cpp
+++ b/src/process/coordinatorlinks.cpp
@@ -75,7 +75,7 @@
     if (node_ == NoNode)
         return;
     peer.dialer->send(
-        PeerHello{node_, known_nodes(), registry_.digest(), settled(BootClock::now())});
+        PeerHello{node_, known_nodes(), registry_.digest(), registry_complete(BootClock::now())});
 }
 
 void Coordinator::send_hellos() {
@@ -95,7 +95,7 @@
     if (peer.node != hello.node)
         log(LogLevel::Info, "control host known", {{"node", text_of(hello.node)}});
     peer.node = hello.node;
-    peer_has_registry_ = peer_has_registry_ || hello.settled;
+    peer_has_registry_ = peer_has_registry_ || hello.registry_complete;
     peer.dialer->retry_now();
     peer.raft->retry_now();
     for (const NodeId node : hello.nodes) {
@@ -218,17 +218,17 @@
 // ---- load reports of the entry hosts
 
 void Coordinator::on_load_reports(const GroupLoadReports& shares, Time now) {
-    loads_.tell(shares.entry, shares.shares, now);
+    loads_.store(shares.entry, shares.shares, now);
 }
 
 // Entry hosts without requests in flight get the load of the others too, since their next request
 // needs it.
 void Coordinator::send_load(Time now) {
     loads_.expire(now);
-    load_due_ = now + loads_.every();
+    load_due_ = now + loads_.report_interval();
     if (loads_.empty() || !leads())
         return;
-    const auto interval_ms = static_cast<std::uint32_t>(to_millis(loads_.every()));
+    const auto interval_ms = static_cast<std::uint32_t>(to_millis(loads_.report_interval()));
     for (auto& [name, session] : entries_)
         if (session.link && !session.link->backed_up())
             session.link->send(GroupLoadReports{"", interval_ms, loads_.load_of_others(name)});
--- a/src/process/coordinatorregistry.cpp
+++ b/src/process/coordinatorregistry.cpp
@@ -40,7 +40,7 @@
     }
 }
 
-ReportFault Coordinator::report(const EndpointReport& report) {
+ReportFault Coordinator::merge_report(const EndpointReport& report) {
     const ReportFault fault = fault_here(report);
     if (fault == ReportFault::None)
         merge(report, true, BootClock::now());
@@ -63,7 +63,7 @@
 
 // A faulty client may send many such reports, so at most one line a second is logged for each
 // fault.
-void Coordinator::refused(const std::string& name, ReportFault fault) {
+void Coordinator::note_rejected_report(const std::string& name, ReportFault fault) {
     const std::string why(name_of(fault));
     Metrics::instance().counter("liftweir_reports_refused", "why=\"" + why + "\"").add();
     RejectedReports& kind = rejected_reports_[fault];
@@ -77,7 +77,7 @@
     kind.since = 0;
 }
 
-void Coordinator::gone(EndpointId id) {
+void Coordinator::deregister(EndpointId id) {
     const Registry::Item* last = registry_.latest(id.name);
     if (!id.has_start_time() && last != nullptr)
         id = last->report.id;
@@ -202,7 +202,7 @@
 
 // ---- kept for the next start
 
-bool Coordinator::settled(Time now) const {
+bool Coordinator::registry_complete(Time now) const {
     return now - started_ > RegistryCompleteAfter;
 }
 
@@ -213,7 +213,7 @@
     if (peer_has_registry_)
         cached_endpoints_.clear();
     const bool copied = peer_has_registry_ && !registry_.items().empty();
-    if (!settled(now) && !copied)
+    if (!registry_complete(now) && !copied)
         return;
     cached_endpoints_.clear();
     if (now < cache_write_due_)
--- a/src/process/gateway.cpp
+++ b/src/process/gateway.cpp
@@ -122,7 +122,7 @@
          {"kind", kind},
          {"status", std::to_string(status)},
          {"document", std::to_string(document_.version)}});
-    exchange.respond(status, protocol_.own_answer_headers(request, retry_after),
+    exchange.respond(status, protocol_.local_response_headers(request, retry_after),
                      std::string("{\"error\":{\"kind\":\"") + kind +
                          "\",\"outcome\":\"not-run\"}}\n");
 }
--- a/src/process/gatewaycontrol.cpp
+++ b/src/process/gatewaycontrol.cpp
@@ -170,7 +170,7 @@
     } else if (lease_ack.sequence != 0 && lease_ack.entries > 0 && calls_.empty()) {
         load_share_ += LoadShareSmoothing * (1.0 / lease_ack.entries - load_share_);
     }
-    directory_.set_fleet_load_ratio(1 / std::max(load_share_, MinLoadShare));
+    directory_.set_total_load_ratio(1 / std::max(load_share_, MinLoadShare));
     for (auto& [service, budget] : budgets_)
         budget.set_share(load_share_);
 }
--- a/src/process/groupformation.cpp
+++ b/src/process/groupformation.cpp
@@ -181,7 +181,7 @@
         now + (longest == model.load ? longest * slowdown : longest) + config_.heartbeat_interval;
     for (const EndpointReport* report : hosts) {
         if (!staged(*report, model.name))
-            loads_.begun(now);
+            loads_.record_start(now);
         remove_from_free(*report);
     }
     add_event(group.warm_up ? "warming" : "formed", group.name, group.members.front(), why);
@@ -272,7 +272,7 @@
     Host& host = hosts_[report.id];
     host.staging = model.name;
     host.staging_until = now + 2 * model.load + FormingSlack;
-    loads_.begun(now);
+    loads_.record_start(now);
     order(OrderKind::Stage, report, nullptr).model = model.name;
     add_event("staging", "", report.id, why);
 }
--- a/src/process/groupplanner.cpp
+++ b/src/process/groupplanner.cpp
@@ -122,7 +122,7 @@
     took_over_ = now;
     // Loads before the first request do not count, whichever leader started them.
     if (traffic_started_)
-        loads_.assume_begun(several_recent_leaders, now);
+        loads_.assume_started(several_recent_leaders, now);
     changes_ = {};
     for (auto& [id, host] : hosts_)
         host.order_in_flight = false;
--- a/src/process/loadbudget.cpp
+++ b/src/process/loadbudget.cpp
@@ -27,7 +27,7 @@
 // An earlier leader may have started loads at UsedShare of the permitted rate, and several leaders
 // more than that. A restarted host may lead before it has read the operators' limits from its log,
 // so the assumption is kept until then.
-void LoadBudget::assume_begun(bool by_several, Time now) {
+void LoadBudget::assume_started(bool by_several, Time now) {
     if (max_loads_ == 0)
         assumed_ = {by_several, now};
     else
--- a/src/process/loadbudget.h
+++ b/src/process/loadbudget.h
@@ -16,12 +16,12 @@
     void configure(double loads_per_second, Duration window);
     // Accounts for loads that earlier leaders may have started: half of the limit, or all of it if
     // several leaders may have started loads within the window. Takes effect once configured.
-    void assume_begun(bool by_several, Time now);
+    void assume_started(bool by_several, Time now);
     bool allows(Time now);
-    void begun(Time now) { starts_.push_back(now); }
+    void record_start(Time now) { starts_.push_back(now); }
 
   private:
-    // A call of assume_begun() before the limit is configured.
+    // A call of assume_started() before the limit is configured.
     struct Assumption {
         bool by_several = false;
         Time at{};
--- a/src/process/node.cpp
+++ b/src/process/node.cpp
@@ -44,7 +44,7 @@
     return (a & AddressMask) == (b & AddressMask);
 }
 
-Expected<NodeId> node_of_folder(Storage& storage, const std::string& ip, bool founder) {
+Expected<NodeId> node_of_directory(Storage& storage, const std::string& ip, bool founder) {
     const auto names = storage.list();
     if (!names)
         return tl::make_unexpected(names.error());
--- a/src/process/node.h
+++ b/src/process/node.h
@@ -29,7 +29,7 @@
 // Reads the node number of a data directory, or draws one and stores it. `founder` may only be set
 // at the very first start of the whole deployment. Fails with Storage, or with Damaged where the
 // file holds no number.
-Expected<NodeId> node_of_folder(Storage& storage, const std::string& ip, bool founder);
+Expected<NodeId> node_of_directory(Storage& storage, const std::string& ip, bool founder);
 
 } // namespace liftweir
 
--- a/src/process/siteprogram.cpp
+++ b/src/process/siteprogram.cpp
@@ -11,8 +11,8 @@
 
 namespace liftweir {
 
-std::optional<SiteProgram> read_fleet_program(const std::string& name, const char* fallback,
-                                              int argc, const char** argv, int& exit_code) {
+std::optional<SiteProgram> read_site_program(const std::string& name, const char* fallback,
+                                             int argc, const char** argv, int& exit_code) {
     const auto line = read_command_line(name, fallback, argc, argv, exit_code);
     if (!line)
         return std::nullopt;
--- a/src/process/siteprogram.h
+++ b/src/process/siteprogram.h
@@ -25,8 +25,8 @@
 // Reads the command line and the settings file. Returns nothing where the program must exit: then
 // errors are printed and `exit_code` is set. `fallback` is the settings file where the command line
 // names none; it may be null.
-std::optional<SiteProgram> read_fleet_program(const std::string& name, const char* fallback,
-                                              int argc, const char** argv, int& exit_code);
+std::optional<SiteProgram> read_site_program(const std::string& name, const char* fallback,
+                                             int argc, const char** argv, int& exit_code);
 
 // Calls `changed` with the new settings each time that their file changes and is valid.
 void watch_site_config(asio::io_context& io, const std::string& file,
--- a/src/process/storage.cpp
+++ b/src/process/storage.cpp
@@ -54,10 +54,10 @@
     return {};
 }
 
-class Folder final : public Storage {
+class DirectoryStorage final : public Storage {
   public:
-    Folder(std::string path, Descriptor folder, Descriptor lock)
-        : path_(std::move(path)), folder_(std::move(folder)), lock_(std::move(lock)) {}
+    DirectoryStorage(std::string path, Descriptor directory, Descriptor lock)
+        : path_(std::move(path)), directory_(std::move(directory)), lock_(std::move(lock)) {}
 
     Expected<std::vector<std::string>> list() override {
         std::vector<std::string> names;
@@ -92,7 +92,7 @@
             return tl::make_unexpected(fd.error());
         if (::fdatasync(*fd) != 0)
             return os_failure("sync " + name);
-        return sync_folder_once(name);
+        return sync_directory_once(name);
     }
 
     Expected<void> truncate(const std::string& name, std::size_t bytes) override {
@@ -113,14 +113,14 @@
             return os_failure("sync " + name);
         if (::rename(temporary.c_str(), at(name).c_str()) != 0)
             return os_failure("rename " + name);
-        return sync_folder();
+        return sync_directory();
     }
 
     Expected<void> remove(const std::string& name) override {
         open_.erase(name);
         if (::unlink(at(name).c_str()) != 0)
             return os_failure("remove " + name);
-        return sync_folder();
+        return sync_directory();
     }
 
   private:
@@ -136,41 +136,41 @@
         return open_.emplace(name, std::move(fd)).first->second.get();
     }
 
-    Expected<void> sync_folder() {
-        if (::fsync(folder_.get()) != 0)
+    Expected<void> sync_directory() {
+        if (::fsync(directory_.get()) != 0)
             return os_failure("sync " + path_);
         return {};
     }
 
     // A new file's name is durable only after its directory is synced, which is done once per file.
-    Expected<void> sync_folder_once(const std::string& name) {
-        if (name == folder_synced_for_)
+    Expected<void> sync_directory_once(const std::string& name) {
+        if (name == directory_synced_for_)
             return {};
-        folder_synced_for_ = name;
-        return sync_folder();
+        directory_synced_for_ = name;
+        return sync_directory();
     }
 
     std::string path_;
-    Descriptor folder_;
+    Descriptor directory_;
     Descriptor lock_;
     std::map<std::string, Descriptor> open_;
-    std::string folder_synced_for_;
+    std::string directory_synced_for_;
 };
 
 } // namespace
 
-Expected<std::unique_ptr<Storage>> open_folder(const std::string& path) {
+Expected<std::unique_ptr<Storage>> open_directory(const std::string& path) {
     std::error_code error;
     std::filesystem::create_directories(path, error);
     if (error)
         return fail(FailureKind::Storage, "make " + path + ": " + error.message());
-    Descriptor folder(::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
-    if (folder.get() < 0)
+    Descriptor directory(::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+    if (directory.get() < 0)
         return os_failure("open " + path);
     Descriptor lock(::open((path + "/" + LockName).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
     if (lock.get() < 0 || ::flock(lock.get(), LOCK_EX | LOCK_NB) != 0)
         return os_failure("lock " + path);
-    return std::make_unique<Folder>(path, std::move(folder), std::move(lock));
+    return std::make_unique<DirectoryStorage>(path, std::move(directory), std::move(lock));
 }
 
 } // namespace liftweir
--- a/src/process/storage.h
+++ b/src/process/storage.h
@@ -34,7 +34,7 @@
 
 // Opens a directory of the file system. The directory is created if it is missing, and locked
 // against a second process.
-Expected<std::unique_ptr<Storage>> open_folder(const std::string& path);
+Expected<std::unique_ptr<Storage>> open_directory(const std::string& path);
 
 } // namespace liftweir
 
--- a/src/process/throttle.h
+++ b/src/process/throttle.h
@@ -15,7 +15,9 @@
   public:
     // The earliest time of the next run if it is requested now.
     Time due(Time now) const { return std::max(now, next_run_); }
-    void record_run(Time begun, Time ended) { next_run_ = ended + (ended - begun) * IdlePerRun; }
+    void record_run(Time started, Time ended) {
+        next_run_ = ended + (ended - started) * IdlePerRun;
+    }
 
   private:
     static constexpr int IdlePerRun = 9; // idle time after a run, in durations of the run
--- a/src/process/throttledwork.h
+++ b/src/process/throttledwork.h
@@ -35,9 +35,9 @@
 
     // Runs the work now, regardless of the throttle.
     void run() {
-        const Time begun = BootClock::now();
+        const Time started = BootClock::now();
         work_();
-        throttle_.record_run(begun, BootClock::now());
+        throttle_.record_run(started, BootClock::now());
     }
 
     // The earliest time of the next run if it is requested at `now`.
--- a/src/request/callerprotocol.h
+++ b/src/request/callerprotocol.h
@@ -80,8 +80,8 @@
     virtual ResponseSignals parse_response(const HttpResponseHead& head,
                                            const CallerRequest& request) const = 0;
     // Headers of a response that liftweir itself gives; a `retry_after` of zero adds no header.
-    virtual HttpHeaders own_answer_headers(const CallerRequest& request,
-                                           Duration retry_after) const = 0;
+    virtual HttpHeaders local_response_headers(const CallerRequest& request,
+                                               Duration retry_after) const = 0;
 };
 
 } // namespace liftweir
--- a/src/request/directory.cpp
+++ b/src/request/directory.cpp
@@ -106,7 +106,7 @@
 
 // The entry hosts share the service's connection limit in proportion to their load.
 std::uint32_t Directory::connections_allowed(const Service& service) const {
-    const double part = std::max(1 / fleet_load_ratio_, MinConnectionPart);
+    const double part = std::max(1 / total_load_ratio_, MinConnectionPart);
     return std::max(MinConnections, static_cast<std::uint32_t>(service.max_connections * part));
 }
 
@@ -163,7 +163,7 @@
     GroupLoad load = lead.use->load;
     load.measured_pass_ms = lead.use->watch.pass_ms();
     if (!with_others)
-        return forecast(engine, model, load, demand, fleet_load_ratio_);
+        return forecast(engine, model, load, demand, total_load_ratio_);
     if (const auto others = load_of_others_.find(lead.report->membership.epoch);
         others != load_of_others_.end())
         load.add(others->second);
@@ -175,7 +175,7 @@
     if (!report.cold || service.cold_calls_per_second <= 0)
         return Duration::zero();
     return std::chrono::duration_cast<Duration>(
-        std::chrono::duration<double>(fleet_load_ratio_ / service.cold_calls_per_second));
+        std::chrono::duration<double>(total_load_ratio_ / service.cold_calls_per_second));
 }
 
 bool Directory::cold_pace_allows(EndpointUse& use, Duration interval, Time now) {
@@ -253,8 +253,8 @@
     for (const Candidate& candidate : candidates)
         levels.push_back(candidate.level_ms);
     const double tokens =
-        fleet_load_ratio_ * sent_tokens_[model.name].per_second(now) * LevelingSeconds;
-    const double inflow_ms = model.pace * tokens / engine.read_tokens_per_ms;
+        total_load_ratio_ * sent_tokens_[model.name].per_second(now) * LevelingSeconds;
+    const double inflow_ms = model.pace * tokens / engine.prefill_tokens_per_ms;
     const double draw = std::uniform_real_distribution<double>(0, 1)(random_);
     return candidates[choose_by_level(levels, inflow_ms, draw)];
 }
--- a/src/request/directory.h
+++ b/src/request/directory.h
@@ -90,8 +90,8 @@
     EndpointUse& use(const EndpointId& id) { return uses_[id]; }
     const std::map<EndpointId, EndpointUse>& uses() const { return uses_; }
     // Sets the load of all entry hosts together as a multiple of this host's own load.
-    void set_fleet_load_ratio(double ratio) {
-        fleet_load_ratio_ = ratio;
+    void set_total_load_ratio(double ratio) {
+        total_load_ratio_ = ratio;
         limits_.set_own_share(1 / ratio);
     }
     EndpointLimits& limits() { return limits_; }
@@ -186,7 +186,7 @@
     Registry registry_{false};
     std::map<EndpointId, EndpointUse> uses_;
     std::minstd_rand random_;
-    double fleet_load_ratio_ = 1;
+    double total_load_ratio_ = 1;
     std::map<Epoch, GroupLoad> load_of_others_; // of the other entry hosts, by group
     Time load_of_others_received_{};
     Duration load_report_interval_{};
--- a/src/request/entryloadtable.cpp
+++ b/src/request/entryloadtable.cpp
@@ -33,8 +33,8 @@
 
 } // namespace
 
-void EntryLoadTable::tell(const std::string& entry, std::vector<GroupLoadReport> group_loads,
-                          Time now) {
+void EntryLoadTable::store(const std::string& entry, std::vector<GroupLoadReport> group_loads,
+                           Time now) {
     EntryLoad& report = reports_[entry];
     subtract_from(total_, report.group_loads);
     add_to(total_, group_loads);
@@ -63,7 +63,7 @@
     }
 }
 
-Duration EntryLoadTable::every() const {
+Duration EntryLoadTable::report_interval() const {
     const double seconds = BytesPerGroup * static_cast<double>(total_.size()) / BytesPerSecond;
     const auto needed =
         std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
--- a/src/request/entryloadtable.h
+++ b/src/request/entryloadtable.h
@@ -22,14 +22,14 @@
 class EntryLoadTable {
   public:
     // Stores the entry host's load report, which replaces its previous one.
-    void tell(const std::string& entry, std::vector<GroupLoadReport> group_loads, Time now);
+    void store(const std::string& entry, std::vector<GroupLoadReport> group_loads, Time now);
     // Load of all other entry hosts, by group.
     std::vector<GroupLoadReport> load_of_others(const std::string& entry) const;
     // Removes the reports of hosts that have sent none for some time.
     void expire(Time now);
     bool empty() const { return reports_.empty(); }
     // Interval between two reports to an entry host that keeps their size within its bandwidth.
-    Duration every() const;
+    Duration report_interval() const;
 
   private:
     struct EntryLoad {
--- a/src/request/groupload.cpp
+++ b/src/request/groupload.cpp
@@ -52,7 +52,7 @@
 
 Duration longest_pass(const EngineCost& engine, const ModelShape& model) {
     const double step = engine.step_ms + engine.step_ms_per_sequence * engine.slots +
-                        engine.chunk / engine.read_tokens_per_ms;
+                        engine.chunk / engine.prefill_tokens_per_ms;
     return std::chrono::duration_cast<Duration>(
         std::chrono::duration<double, std::milli>(model.pace * engine.steps_per_pass * step));
 }
@@ -71,14 +71,14 @@
     const double prefill_in_pass = std::min(max_prefill_per_pass, waiting_tokens);
     const double steps =
         engine.steps_per_pass * (engine.step_ms + engine.step_ms_per_sequence * sequences);
-    const double planned = model.pace * (steps + prefill_in_pass / engine.read_tokens_per_ms);
+    const double planned = model.pace * (steps + prefill_in_pass / engine.prefill_tokens_per_ms);
     const double slowdown =
         load.measured_pass_ms > 0 && planned > 0
             ? std::clamp(load.measured_pass_ms / planned, MinSlowdown, MaxSlowdown)
             : 1.0;
     const double full_pass =
         model.pace * (steps + std::min(max_prefill_per_pass, waiting_tokens + prompt_tokens) /
-                                  engine.read_tokens_per_ms);
+                                  engine.prefill_tokens_per_ms);
     const double passes =
         std::ceil((waiting_tokens + prompt_tokens) / std::max(1.0, max_prefill_per_pass));
     LoadForecast out;
--- a/src/request/relayedcall.cpp
+++ b/src/request/relayedcall.cpp
@@ -254,7 +254,7 @@
         fail(502, why);
         return;
     }
-    exchange_->respond(503, host_.protocol().own_answer_headers(request_, retry_after),
+    exchange_->respond(503, host_.protocol().local_response_headers(request_, retry_after),
                        "{\"error\":{\"kind\":\"no_endpoint\",\"outcome\":\"not-run\"}}\n");
     finish(503, why);
 }
@@ -278,7 +278,7 @@
     if (done_)
         return;
     release_endpoint();
-    exchange_->respond(status, host_.protocol().own_answer_headers(request_, Duration::zero()),
+    exchange_->respond(status, host_.protocol().local_response_headers(request_, Duration::zero()),
                        "{\"error\":{\"kind\":\"endpoint_failed\",\"outcome\":\"unknown\"}}\n");
     finish(status, why);
 }
--- a/src/version/deployment.h
+++ b/src/version/deployment.h
@@ -67,7 +67,7 @@
     std::uint32_t slots = 1;          // requests that a group processes concurrently
     double step_ms = 0;               // time of one decoding step
     double step_ms_per_sequence = 0;  // added for each request that is being decoded
-    double read_tokens_per_ms = 1;    // prompt tokens that are prefilled in one millisecond
+    double prefill_tokens_per_ms = 1; // prompt tokens that are prefilled in one millisecond
     std::uint32_t chunk = 1;          // most prompt tokens that one forward pass prefills
     std::uint32_t steps_per_pass = 1; // decoding steps of one forward pass, which yields an event
     double loads_per_second = 1;      // loads that may start, over all hosts
--- a/tests/unit/coldpace_test.cpp
+++ b/tests/unit/coldpace_test.cpp
@@ -59,7 +59,7 @@
     std::vector<std::unique_ptr<Directory>> hosts;
     for (int n = 0; n < entry_hosts; ++n) {
         hosts.push_back(std::make_unique<Directory>(random()));
-        hosts.back()->set_fleet_load_ratio(entry_hosts);
+        hosts.back()->set_total_load_ratio(entry_hosts);
         for (int l = 0; l <= WarmLeads; ++l)
             hosts.back()->registry().merge(lead(l, l == WarmLeads), Start);
     }
--- a/tests/unit/directory_test.cpp
+++ b/tests/unit/directory_test.cpp
@@ -23,7 +23,7 @@
 TEST(Directory, ConnectionsAreLimitedToThisHostsShare) {
     Directory directory(7);
     directory.registry().merge(plain("i-1", "10.0.0.1:80"), Start);
-    directory.set_fleet_load_ratio(5);
+    directory.set_total_load_ratio(5);
     const Service service{"app", 50, std::nullopt};
     Demand demand;
     demand.service = &service;
@@ -65,7 +65,7 @@
 // A host with a small share of the load may receive a burst in the next second.
 TEST(Directory, MinimumOfConnectionsIsAlwaysAllowed) {
     Directory directory(7);
-    directory.set_fleet_load_ratio(50);
+    directory.set_total_load_ratio(50);
     EXPECT_EQ(directory.connections_allowed({"app", 400, std::nullopt}), 25u);
     EXPECT_EQ(directory.connections_allowed({"app", 1, std::nullopt}), 2u);
 }
--- a/tests/unit/endpointcachefile_test.cpp
+++ b/tests/unit/endpointcachefile_test.cpp
@@ -35,7 +35,7 @@
 }
 
 TEST(EndpointCacheFile, KeepsServingEndpointsWithRecentContact) {
-    auto folder = open_folder(testing::TempDir() + "/roster-keeps");
+    auto folder = open_directory(testing::TempDir() + "/roster-keeps");
     ASSERT_TRUE(folder);
     const std::shared_ptr<Storage> storage = std::move(*folder);
     EndpointCacheFile cached(storage);
--- a/tests/unit/fleet_test.cpp
+++ b/tests/unit/fleet_test.cpp
@@ -31,12 +31,12 @@
 
 TEST(Node, AHostWithAnEmptiedDiskIsAnotherNode) {
     MemStorage disk;
-    const auto founder = node_of_folder(disk, "10.1.0.4", true);
+    const auto founder = node_of_directory(disk, "10.1.0.4", true);
     ASSERT_TRUE(founder);
     EXPECT_EQ(*founder, founder_node("10.1.0.4"));
-    EXPECT_EQ(node_of_folder(disk, "10.1.0.4", false).value(), *founder);
+    EXPECT_EQ(node_of_directory(disk, "10.1.0.4", false).value(), *founder);
     MemStorage empty;
-    const auto again = node_of_folder(empty, "10.1.0.4", false);
+    const auto again = node_of_directory(empty, "10.1.0.4", false);
     ASSERT_TRUE(again);
     EXPECT_NE(*again, *founder);
     EXPECT_TRUE(same_host(*again, *founder));
@@ -356,7 +356,7 @@
     std::vector<Time> begun;
     for (Time now = Start; now < Start + seconds(30); now += milliseconds(50))
         if (budget.allows(now)) {
-            budget.begun(now);
+            budget.record_start(now);
             begun.push_back(now);
         }
     for (const Time from : begun) {
@@ -391,7 +391,7 @@
     e.slots = 48;
     e.step_ms = 6;
     e.step_ms_per_sequence = 0.24;
-    e.read_tokens_per_ms = 46;
+    e.prefill_tokens_per_ms = 46;
     e.chunk = 2048;
     e.steps_per_pass = 3;
     return e;
--- a/tests/unit/gatewaylink_test.cpp
+++ b/tests/unit/gatewaylink_test.cpp
@@ -22,7 +22,7 @@
     ResponseSignals parse_response(const HttpResponseHead&, const CallerRequest&) const override {
         return {};
     }
-    HttpHeaders own_answer_headers(const CallerRequest&, Duration) const override { return {}; }
+    HttpHeaders local_response_headers(const CallerRequest&, Duration) const override { return {}; }
 };
 
 // A control host that answers lease renewals, except on `unanswered_link`.
--- a/tests/unit/groupplanner_test.cpp
+++ b/tests/unit/groupplanner_test.cpp
@@ -309,9 +309,9 @@
         LoadBudget budget;
         budget.configure(3, seconds(5));
         if (leader > 0)
-            budget.assume_begun(leader > 1, now);
+            budget.assume_started(leader > 1, now);
         for (; budget.allows(now); ++begun)
-            budget.begun(now);
+            budget.record_start(now);
         now += seconds(1);
     }
     EXPECT_LE(begun, 3u * 5u);
--- a/tests/unit/groupsimulator.cpp
+++ b/tests/unit/groupsimulator.cpp
@@ -30,7 +30,7 @@
     engine.slots = 48;
     engine.step_ms = 6.45;
     engine.step_ms_per_sequence = 0.0967;
-    engine.read_tokens_per_ms = 56.1;
+    engine.prefill_tokens_per_ms = 56.1;
     engine.chunk = 2048;
     engine.steps_per_pass = 5;
     engine.models = {{.name = Model, .size = 1}};
@@ -41,7 +41,7 @@
     : engine_(std::move(engine)), service_{"llm", 4000, engine_}, random_(seed) {
     for (int i = 0; i < hosts; ++i) {
         hosts_.emplace_back(seed + static_cast<std::uint64_t>(i));
-        hosts_.back().set_fleet_load_ratio(hosts);
+        hosts_.back().set_total_load_ratio(hosts);
     }
     for (int i = 0; i < groups; ++i)
         open_group(Start);
@@ -114,9 +114,9 @@
 void GroupSimulator::report_load(Time now) {
     for (std::size_t host = 0; host < hosts_.size(); ++host)
         hosts_[host].set_load_of_others(load_table_.load_of_others(std::to_string(host)),
-                                        load_table_.every(), now);
+                                        load_table_.report_interval(), now);
     for (std::size_t host = 0; host < hosts_.size(); ++host)
-        load_table_.tell(std::to_string(host), hosts_[host].own_load(), now);
+        load_table_.store(std::to_string(host), hosts_[host].own_load(), now);
 }
 
 void GroupSimulator::ask(std::size_t number, Time now) {
@@ -207,7 +207,7 @@
     }
     return shape.pace *
            (engine_.steps_per_pass * (engine_.step_ms + engine_.step_ms_per_sequence * decoders) +
-            prefilled / engine_.read_tokens_per_ms);
+            prefilled / engine_.prefill_tokens_per_ms);
 }
 
 void GroupSimulator::end_pass(Group& group, Time now) {
--- a/tests/unit/leveling_test.cpp
+++ b/tests/unit/leveling_test.cpp
@@ -71,20 +71,20 @@
 
 TEST(EntryLoadTable, ReturnsTheLoadOfTheOtherHosts) {
     EntryLoadTable table;
-    table.tell("a", {{7, prefilling(1)}, {8, prefilling(2)}}, Start);
-    table.tell("b", {{8, prefilling(3)}}, Start);
+    table.store("a", {{7, prefilling(1)}, {8, prefilling(2)}}, Start);
+    table.store("b", {{8, prefilling(3)}}, Start);
     EXPECT_EQ(table.load_of_others("a"), (std::vector<GroupLoadReport>{{8, prefilling(3)}}));
     EXPECT_EQ(table.load_of_others("b"),
               (std::vector<GroupLoadReport>{{7, prefilling(1)}, {8, prefilling(2)}}));
-    table.tell("a", {}, Start);
+    table.store("a", {}, Start);
     EXPECT_TRUE(table.load_of_others("b").empty());
     EXPECT_EQ(table.load_of_others("c"), (std::vector<GroupLoadReport>{{8, prefilling(3)}}));
 }
 
 TEST(EntryLoadTable, ExpiresHostsWithoutReports) {
     EntryLoadTable table;
-    table.tell("a", {{7, prefilling(1)}}, Start);
-    table.tell("b", {{7, prefilling(2)}}, Start + seconds(2));
+    table.store("a", {{7, prefilling(1)}}, Start);
+    table.store("b", {{7, prefilling(2)}}, Start + seconds(2));
     table.expire(Start + seconds(2));
     EXPECT_EQ(table.load_of_others("c"), (std::vector<GroupLoadReport>{{7, prefilling(2)}}));
     table.expire(Start + seconds(9));
@@ -101,7 +101,7 @@
             if (*rc::gen::arbitrary<bool>())
                 shares.push_back({epoch, prefilling(*rc::gen::inRange(1u, 9u))});
         reported[entry] = shares;
-        table.tell(entry, shares, Start);
+        table.store(entry, shares, Start);
     }
     std::map<Epoch, GroupLoad> sums;
     for (const auto& [entry, shares] : reported)
@@ -118,10 +118,10 @@
     std::vector<GroupLoadReport> shares;
     for (Epoch epoch = 1; epoch <= 1000; ++epoch)
         shares.push_back({epoch, prefilling(1)});
-    table.tell("a", {shares.begin(), shares.begin() + 30}, Start);
-    EXPECT_EQ(table.every(), LoadReportInterval);
-    table.tell("a", shares, Start);
-    EXPECT_GE(table.every(), seconds(2));
+    table.store("a", {shares.begin(), shares.begin() + 30}, Start);
+    EXPECT_EQ(table.report_interval(), LoadReportInterval);
+    table.store("a", shares, Start);
+    EXPECT_GE(table.report_interval(), seconds(2));
 }
 
 } // namespace
--- a/tests/unit/platform_test.cpp
+++ b/tests/unit/platform_test.cpp
@@ -46,7 +46,7 @@
     EXPECT_EQ(route.split.size(), 2u);
     EXPECT_FALSE(d->routes[1].repeatable());
     const EngineCost& engine = *d->service("llm")->engine;
-    EXPECT_DOUBLE_EQ(engine.read_tokens_per_ms, 46);
+    EXPECT_DOUBLE_EQ(engine.prefill_tokens_per_ms, 46);
     EXPECT_EQ(engine.models[0].warm_join, milliseconds(1600));
     EXPECT_EQ(d->limits.header_bytes, 1000u);
     EXPECT_EQ(d->customers[0].keys.size(), 2u);
