--- a/src/request/call.cpp
+++ b/src/request/call.cpp
@@ -93,8 +93,8 @@
 }
 
 void Call::send_attempt(Time now, CallActions& out) {
-    const bool resumes = delivered_;
-    const auto place = picker_.place(spec_, avoid_, resumes, resumes ? version_ : "", now);
+    const bool resuming = delivered_;
+    const auto place = picker_.place(spec_, avoid_, resuming, resuming ? version_ : "", now);
     if (!place) {
         give_up(refusals_ > 0 ? refusal_reason_ : FailureKind::NoEndpoint,
                 "no endpoint is ready to take the request", now, out);
@@ -103,7 +103,7 @@
     RunningAttempt attempt;
     attempt.id = {spec_.entry, spec_.sequence, ++attempts_started_};
     attempt.place = *place;
-    attempt.resumed_at = resumes ? tokens_ : 0;
+    attempt.resumed_at = resuming ? tokens_ : 0;
     sent_at_ = now;
     out.push_back(SendAttempt{*place, attempt.id, attempt.resumed_at, spec_.deadline - now});
     running_.push_back(std::move(attempt));
--- a/src/request/callerapi.cpp
+++ b/src/request/callerapi.cpp
@@ -49,11 +49,11 @@
         (*body)["model"].asString().size() > MaxModelNameBytes)
         return fail(FailureKind::BadRequest, "model: allowed is text of 1 to " +
                                                  std::to_string(MaxModelNameBytes) + " bytes");
-    const std::string named = (*body)["model"].asString();
-    const auto colon = named.find(':');
-    const auto route = table.models.find(named.substr(0, colon));
+    const std::string model_name = (*body)["model"].asString();
+    const auto colon = model_name.find(':');
+    const auto route = table.models.find(model_name.substr(0, colon));
     if (route == table.models.end())
-        return fail(FailureKind::NotFound, "model '" + named + "' is not known at this site");
+        return fail(FailureKind::NotFound, "model '" + model_name + "' is not known at this site");
     const bool chat = exchange.path() == "/v1/chat/completions";
     if (const auto checked = check_model_body(*body, chat); !checked)
         return tl::make_unexpected(checked.error());
@@ -61,7 +61,7 @@
     fill_from_http(exchange, out.spec);
     out.spec.is_model = true;
     out.spec.name = route->first;
-    out.spec.adapter = colon == std::string::npos ? "" : named.substr(colon + 1);
+    out.spec.adapter = colon == std::string::npos ? "" : model_name.substr(colon + 1);
     out.spec.path = exchange.path();
     out.spec.repeatable = true;
     out.spec.streamed = (*body)["stream"].isBool() && (*body)["stream"].asBool();
--- a/src/request/callerwait.cpp
+++ b/src/request/callerwait.cpp
@@ -40,15 +40,15 @@
                                      Duration timeout, Time now) {
     RouteWindows& windows = routes_[route];
     if (now - windows.started > WindowLength && windows.now.total >= MinCalls) {
-        windows.before = std::exchange(windows.now, {});
+        windows.previous = std::exchange(windows.now, {});
         windows.started = now;
     }
     count(windows.now, time_limit);
-    const Window& before = windows.before;
-    const bool known = before.total >= MinCalls;
-    if (known && before.full < MinFullPart * before.total)
+    const Window& previous = windows.previous;
+    const bool known = previous.total >= MinCalls;
+    if (known && previous.full < MinFullPart * previous.total)
         return Duration::zero();
-    const Duration limit = known ? std::max(before.longest, windows.now.longest) : timeout;
+    const Duration limit = known ? std::max(previous.longest, windows.now.longest) : timeout;
     if (limit - time_limit < MinRetryDelay || time_limit < scaled(limit, MinPartOfLimit))
         return Duration::zero();
     return limit - time_limit;
--- a/src/request/callerwait.h
+++ b/src/request/callerwait.h
@@ -33,7 +33,7 @@
     struct RouteWindows {
         Time started{};
         Window now;
-        Window before;
+        Window previous;
     };
 
     static void count(Window& window, Duration time_limit);
--- a/src/request/directory.cpp
+++ b/src/request/directory.cpp
@@ -53,8 +53,8 @@
                               : GoalTolerance * (goal - to_exact_millis(demand.waited));
     const bool late = goal > 0 && predicted.first_event_ms > latest;
     const bool full = predicted.in_flight >= engine.slots;
-    const bool crowded = predicted.in_flight > RefuseAboveLoad * engine.slots;
-    return !(late || full) || !(demand.engine.low_priority || crowded);
+    const bool above_load = predicted.in_flight > RefuseAboveLoad * engine.slots;
+    return !(late || full) || !(demand.engine.low_priority || above_load);
 }
 
 // Admission depends on the work queued before a request and on at most one chunk of its own prompt:
--- a/tests/unit/heldback_test.cpp
+++ b/tests/unit/heldback_test.cpp
@@ -73,11 +73,11 @@
 TEST_P(ThrottledEndpoint, RetryDelaysEndAfterTheBackoffAndDiffer) {
     directory.back_off(first.id, seconds(3), Start);
     directory.back_off(second.id, seconds(3), Start);
-    std::set<Duration> returns;
+    std::set<Duration> delays;
     for (int n = 0; n < 50; ++n)
-        returns.insert(directory.retry_delay(none(), Start));
-    EXPECT_GE(*returns.begin(), seconds(3));
-    EXPECT_GT(*returns.rbegin() - *returns.begin(), milliseconds(500));
+        delays.insert(directory.retry_delay(none(), Start));
+    EXPECT_GE(*delays.begin(), seconds(3));
+    EXPECT_GT(*delays.rbegin() - *delays.begin(), milliseconds(500));
 }
 
 TEST_P(ThrottledEndpoint, TriedEndpointCountsForTheRetryDelay) {
@@ -87,11 +87,12 @@
 
 TEST_P(ThrottledEndpoint, BackoffIsOfOneIncarnation) {
     directory.back_off(first.id, seconds(3), Start);
-    EndpointReport again = first;
-    again.id.started_ms = 8;
-    again.membership.epoch = again.membership.epoch == NoEpoch ? NoEpoch : 9;
-    directory.registry().merge(again, Start + milliseconds(10));
-    EXPECT_EQ(directory.pick(demand, {second.id}, Start + milliseconds(20))->endpoint, again.id);
+    EndpointReport next_incarnation = first;
+    next_incarnation.id.started_ms = 8;
+    next_incarnation.membership.epoch = next_incarnation.membership.epoch == NoEpoch ? NoEpoch : 9;
+    directory.registry().merge(next_incarnation, Start + milliseconds(10));
+    EXPECT_EQ(directory.pick(demand, {second.id}, Start + milliseconds(20))->endpoint,
+              next_incarnation.id);
 }
 
 TEST_P(ThrottledEndpoint, BackoffOutlastsATemporaryRemovalOfTheEndpoint) {
@@ -115,11 +116,12 @@
     directory.expire(Start + seconds(30));
     directory.registry().merge(first, Start + seconds(30));
     EXPECT_EQ(none({second.id}, Start + seconds(31)).why, PickFailure::NoneInService);
-    EndpointReport again = first;
-    again.id.started_ms = 8;
-    again.membership.epoch = again.membership.epoch == NoEpoch ? NoEpoch : 9;
-    directory.registry().merge(again, Start + seconds(32));
-    EXPECT_EQ(directory.pick(demand, {second.id}, Start + seconds(33))->endpoint, again.id);
+    EndpointReport next_incarnation = first;
+    next_incarnation.id.started_ms = 8;
+    next_incarnation.membership.epoch = next_incarnation.membership.epoch == NoEpoch ? NoEpoch : 9;
+    directory.registry().merge(next_incarnation, Start + seconds(32));
+    EXPECT_EQ(directory.pick(demand, {second.id}, Start + seconds(33))->endpoint,
+              next_incarnation.id);
 }
 
 TEST(ThrottledLeads, FailedLeadMayServeBeforeTheBackoffOfAnotherEnds) {
--- a/tests/unit/leveling_test.cpp
+++ b/tests/unit/leveling_test.cpp
@@ -96,31 +96,31 @@
     std::map<std::string, std::vector<GroupLoadReport>> reported;
     for (int n = *rc::gen::inRange(1, 30); n > 0; --n) {
         const std::string entry = *rc::gen::element<std::string>("a", "b", "c");
-        std::vector<GroupLoadReport> shares;
+        std::vector<GroupLoadReport> group_loads;
         for (Epoch epoch = 1; epoch < 5; ++epoch)
             if (*rc::gen::arbitrary<bool>())
-                shares.push_back({epoch, prefilling(*rc::gen::inRange(1u, 9u))});
-        reported[entry] = shares;
-        table.tell(entry, shares, Start);
+                group_loads.push_back({epoch, prefilling(*rc::gen::inRange(1u, 9u))});
+        reported[entry] = group_loads;
+        table.tell(entry, group_loads, Start);
     }
     std::map<Epoch, GroupLoad> sums;
-    for (const auto& [entry, shares] : reported)
-        for (const GroupLoadReport& share : shares)
-            sums[share.epoch].add(share.load);
-    const auto all = table.load_of_others("nobody");
-    RC_ASSERT(all.size() == sums.size());
-    for (const GroupLoadReport& share : all)
-        RC_ASSERT(share.load == sums.at(share.epoch));
+    for (const auto& [entry, group_loads] : reported)
+        for (const GroupLoadReport& group_load : group_loads)
+            sums[group_load.epoch].add(group_load.load);
+    const auto totals = table.load_of_others("nobody");
+    RC_ASSERT(totals.size() == sums.size());
+    for (const GroupLoadReport& group_load : totals)
+        RC_ASSERT(group_load.load == sums.at(group_load.epoch));
 }
 
 TEST(EntryLoadTable, IntervalLimitsTheBytesPerEntryHost) {
     EntryLoadTable table;
-    std::vector<GroupLoadReport> shares;
+    std::vector<GroupLoadReport> group_loads;
     for (Epoch epoch = 1; epoch <= 1000; ++epoch)
-        shares.push_back({epoch, prefilling(1)});
-    table.tell("a", {shares.begin(), shares.begin() + 30}, Start);
+        group_loads.push_back({epoch, prefilling(1)});
+    table.tell("a", {group_loads.begin(), group_loads.begin() + 30}, Start);
     EXPECT_EQ(table.every(), LoadReportInterval);
-    table.tell("a", shares, Start);
+    table.tell("a", group_loads, Start);
     EXPECT_GE(table.every(), seconds(2));
 }
 
