--- a/models/lease.pml
+++ b/models/lease.pml
@@ -57,7 +57,7 @@
     /* Replica::apply */
     :: atomic { select(i : 0 .. 2);
         if :: committed && control[i].logged -> control[i].applied = true :: else fi; i = 0 }
-    /* LeaseHolder::asked */
+    /* LeaseHolder::renewal_sent */
     :: atomic { select(i : 0 .. 2); voucher[i].stage = ASKED; voucher[i].age = 0;
         voucher[i].said = false; i = 0 }
     /* Control::make_lease_ack */
--- a/src/connection/eventsplitter.h
+++ b/src/connection/eventsplitter.h
@@ -19,7 +19,7 @@
     // The next complete event with its closing blank line; empty if there is none.
     std::string next();
     // The bytes after the last complete event.
-    const std::string& rest() const { return pending_; }
+    const std::string& remaining() const { return pending_; }
 
   private:
     // Bounds the memory for a stream without blank lines; events normally hold a few tokens.
--- a/src/connection/httpchannel.cpp
+++ b/src/connection/httpchannel.cpp
@@ -85,7 +85,7 @@
                                             const std::string& body, ChannelOptions options,
                                             CallEvents events) {
     max_idle_[address] = options.max_idle_connections;
-    ChannelPtr channel = options.fresh ? nullptr : take_idle(address);
+    ChannelPtr channel = options.new_connection ? nullptr : take_idle(address);
     const bool reused = channel != nullptr;
     if (!reused) {
         channel = std::make_shared<Channel>(io_, weak_from_this(), address);
--- a/src/connection/httpchannel.h
+++ b/src/connection/httpchannel.h
@@ -66,7 +66,7 @@
     // Opens a new connection even if one is idle. An endpoint may close an idle connection just as
     // the next request is sent, which leaves the outcome of that request unknown, so a request that
     // must not be repeated uses a new connection.
-    bool fresh = false;
+    bool new_connection = false;
     // Largest number of idle connections to this address after the call, its own included.
     std::size_t max_idle_connections = 16;
 };
--- a/src/connection/httpserver.cpp
+++ b/src/connection/httpserver.cpp
@@ -74,7 +74,7 @@
         done_ = true;
         connection_->close();
     }
-    std::optional<Time> left() const override { return connection_->left(); }
+    std::optional<Time> disconnected_at() const override { return connection_->disconnected_at(); }
     void on_disconnect(std::function<void()> callback) override {
         connection_->set_on_disconnect(std::move(callback));
     }
--- a/src/connection/httpserver.h
+++ b/src/connection/httpserver.h
@@ -49,7 +49,7 @@
     // Time at which the caller's close of its connection or of its sending side was noticed; empty
     // if there was none. Polls the socket, so that a close behind unread bytes counts. Called
     // before anything is sent to an endpoint on the caller's behalf.
-    virtual std::optional<Time> left() const = 0;
+    virtual std::optional<Time> disconnected_at() const = 0;
     // Sets a callback that is invoked once, when the caller's connection is closed.
     virtual void on_disconnect(std::function<void()> callback) = 0;
 };
--- a/src/connection/relay.cpp
+++ b/src/connection/relay.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-bool Relay::take(std::string_view bytes) {
+bool Relay::add_bytes(std::string_view bytes) {
     if (window_ != 0 && unacknowledged_ >= window_)
         return false;
     unacknowledged_ += bytes.size();
--- a/src/connection/relay.h
+++ b/src/connection/relay.h
@@ -20,7 +20,7 @@
 
     // Adds bytes from the endpoint. Returns false, without adding them, while the flow control
     // window of the entry host is full.
-    bool take(std::string_view bytes);
+    bool add_bytes(std::string_view bytes);
     void credit(std::uint32_t bytes);
     // The next chunk; empty if there is no complete event.
     std::optional<Chunk> next_chunk();
--- a/src/connection/serverconnection.cpp
+++ b/src/connection/serverconnection.cpp
@@ -305,7 +305,7 @@
 // Polls instead of reading, since a read returns the end only after all bytes before it. A half
 // close counts too: it can not be told from a close until bytes are sent, and an endpoint must not
 // work for a caller that has disconnected.
-std::optional<Time> ServerConnection::left() {
+std::optional<Time> ServerConnection::disconnected_at() {
     if (disconnected_at_ || phase_ == Phase::Closed)
         return disconnected_at_;
     pollfd state{socket_.native_handle(), POLLRDHUP, 0};
@@ -317,7 +317,7 @@
 void ServerConnection::sweep(Time now) {
     // Without this check the close would go unnoticed: reading stops once enough bytes of the
     // caller's later requests are buffered.
-    if (phase_ == Phase::Working && !reading_ && left()) {
+    if (phase_ == Phase::Working && !reading_ && disconnected_at()) {
         close();
         return;
     }
--- a/src/connection/serverconnection.h
+++ b/src/connection/serverconnection.h
@@ -71,7 +71,7 @@
     void answered();
     // Time at which the caller's close of its connection or of its sending side was noticed. Polls
     // the socket, since a close may be queued behind bytes that were not read yet.
-    std::optional<Time> left();
+    std::optional<Time> disconnected_at();
     // Sets a callback that is invoked once if the connection closes before the response is
     // complete.
     void set_on_disconnect(std::function<void()> callback) { on_disconnect_ = std::move(callback); }
--- a/src/connection/wire.h
+++ b/src/connection/wire.h
@@ -299,8 +299,8 @@
 struct GroupLoadReports {
     std::string entry;             // the sender; empty from control
     std::uint32_t interval_ms = 0; // from control: interval of these messages in both directions
-    std::vector<GroupLoadReport> shares;
-    MSGPACK_DEFINE(entry, interval_ms, shares)
+    std::vector<GroupLoadReport> reports;
+    MSGPACK_DEFINE(entry, interval_ms, reports)
 };
 
 // Digests of the sender's registry by range of names, sent when the receiver's registry differs.
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -196,7 +196,7 @@
                  "| key | allowed | unit | default | meaning |\n| --- | --- | --- | --- | --- |\n";
     for (const KeySpec& spec : key_table())
         std::cout << "| `" << spec.pattern << "` | " << allowed_values(spec) << " | " << spec.unit
-                  << " | `" << spec.fallback << "` | " << spec.doc << " |\n";
+                  << " | `" << spec.default_value << "` | " << spec.doc << " |\n";
     return CtlOk;
 }
 
--- a/src/process/agentwork.cpp
+++ b/src/process/agentwork.cpp
@@ -194,7 +194,7 @@
     callbacks.on_data = [this, with_work](std::string_view bytes) {
         bool taken = true;
         with_work([&](AttemptState& w) {
-            taken = w.relay->take(bytes);
+            taken = w.relay->add_bytes(bytes);
             send_chunks(w);
         });
         return taken;
--- a/src/process/coordinator.cpp
+++ b/src/process/coordinator.cpp
@@ -41,7 +41,7 @@
       decode_(std::move(decode)),
       identity_{ProcessRole::Control, config_.name, new_incarnation()},
       voter_selector_(2 * config_.tolerated_hosts + 1),
-      groups_({config_.bounds.beat, config_.bounds.load_window}, config_.first_start),
+      groups_({config_.bounds.heartbeat_interval, config_.bounds.load_window}, config_.first_start),
       planning_(io, [this] { plan(); }),
       sending_changes_(io, [this] { send_changes(); }),
       ticker_(io, TickInterval, [this] { tick(); }) {}
@@ -149,8 +149,9 @@
     gauges_.add("liftweir_voters", [this] {
         return replica_ ? static_cast<double>(replica_->raft().voters().size()) : 0.0;
     });
-    gauges_.add("liftweir_requests_quarantined",
-                [this] { return static_cast<double>(quarantine_.held(BootClock::now())); });
+    gauges_.add("liftweir_requests_quarantined", [this] {
+        return static_cast<double>(quarantine_.quarantined_count(BootClock::now()));
+    });
     ticker_.start();
 }
 
--- a/src/process/coordinatorlinks.cpp
+++ b/src/process/coordinatorlinks.cpp
@@ -218,7 +218,7 @@
 // ---- load reports of the entry hosts
 
 void Coordinator::on_load_reports(const GroupLoadReports& shares, Time now) {
-    loads_.store(shares.entry, shares.shares, now);
+    loads_.store(shares.entry, shares.reports, now);
 }
 
 // Entry hosts without requests in flight get the load of the others too, since their next request
--- a/src/process/coordinatorquarantine.cpp
+++ b/src/process/coordinatorquarantine.cpp
@@ -18,10 +18,10 @@
     for (const AbortedRequest& request : aborted.requests) {
         if (quarantine_.aborted(request, aborted.endpoint, now)) {
             note_quarantined(request.content, now);
-            send_decision_to_peers(quarantine_.suspicion(request.content, now));
+            send_decision_to_peers(quarantine_.suspect_request(request.content, now));
         }
-        const SuspectRequest known = quarantine_.suspicion(request.content, now);
-        if (known.ends > 1)
+        const SuspectRequest known = quarantine_.suspect_request(request.content, now);
+        if (known.crashes > 1)
             updates.known.push_back(known);
     }
     if (!updates.known.empty())
@@ -33,11 +33,11 @@
         send_to_peers(SuspectRequests{{}, received.cleared});
     clear(received.cleared);
     SuspectRequests updates;
-    for (const SuspectRequest& suspicion : received.known) {
-        if (!quarantine_.merge(suspicion, now))
+    for (const SuspectRequest& suspect_request : received.known) {
+        if (!quarantine_.merge(suspect_request, now))
             continue;
-        note_quarantined(suspicion.content, now);
-        updates.known.push_back(quarantine_.suspicion(suspicion.content, now));
+        note_quarantined(suspect_request.content, now);
+        updates.known.push_back(quarantine_.suspect_request(suspect_request.content, now));
     }
     if (!updates.known.empty())
         send_to_entries(updates);
@@ -50,7 +50,7 @@
 void Coordinator::clear(const std::vector<Fingerprint>& contents) {
     SuspectRequests updates;
     for (const Fingerprint& content : contents) {
-        const bool held = quarantine_.left(content, BootClock::now()) > Duration::zero();
+        const bool held = quarantine_.remaining(content, BootClock::now()) > Duration::zero();
         if (!quarantine_.clear(content))
             continue;
         updates.cleared.push_back(content);
@@ -65,13 +65,13 @@
 }
 
 void Coordinator::note_quarantined(const Fingerprint& content, Time now) {
-    const SuspectRequest held = quarantine_.suspicion(content, now);
+    const SuspectRequest held = quarantine_.suspect_request(content, now);
     std::string endpoints;
     for (const EndpointId& endpoint : held.endpoints)
         endpoints += (endpoints.empty() ? "" : ",") + text_of(endpoint);
     log(LogLevel::Warning, "request under quarantine",
         {{"content", text_of(content)},
-         {"ends", std::to_string(held.ends)},
+         {"ends", std::to_string(held.crashes)},
          {"endpoints", endpoints},
          {"left_ms", std::to_string(held.left_ms)}});
     if (!leads())
@@ -85,7 +85,7 @@
 // Without this check, a request that three running endpoints aborted would be quarantined for ten
 // minutes for all callers that send the same. Endpoints that did crash do not answer.
 void Coordinator::probe_aborting_endpoints(const SuspectRequest& held) {
-    const std::size_t counted = std::min<std::size_t>(held.ends, held.endpoints.size());
+    const std::size_t counted = std::min<std::size_t>(held.crashes, held.endpoints.size());
     for (auto id = held.endpoints.end() - static_cast<std::ptrdiff_t>(counted);
          id != held.endpoints.end(); ++id) {
         // Without its process start in the id, a restarted endpoint can not be distinguished from
@@ -115,7 +115,7 @@
 
 void Coordinator::propose_quarantine(const SuspectRequest& held) {
     const std::int64_t now_ms = wall_millis();
-    replica_->propose(QuarantineRequest{held.content, held.ends, now_ms + held.left_ms, now_ms},
+    replica_->propose(QuarantineRequest{held.content, held.crashes, now_ms + held.left_ms, now_ms},
                       [](const Expected<ApplyResult>&) {});
     pump_soon();
 }
@@ -128,7 +128,7 @@
     const auto& logged = replica_->state().quarantined();
     for (const SuspectRequest& known : quarantine_.suspects_to_send(BootClock::now())) {
         const auto found = logged.find(known.content);
-        if (known.left_ms > 0 && (found == logged.end() || found->second.ends < known.ends))
+        if (known.left_ms > 0 && (found == logged.end() || found->second.crashes < known.crashes))
             propose_quarantine(known);
     }
 }
@@ -146,9 +146,9 @@
         if (left_ms <= 0)
             continue;
         const SuspectRequest received{
-            content, record.ends, {}, static_cast<std::uint32_t>(left_ms)};
+            content, record.crashes, {}, static_cast<std::uint32_t>(left_ms)};
         if (quarantine_.merge(received, now))
-            updates.known.push_back(quarantine_.suspicion(content, now));
+            updates.known.push_back(quarantine_.suspect_request(content, now));
     }
     for (const auto& [content, record] : applied_quarantine_)
         if (!logged.contains(content) && record.until_ms > now_ms && quarantine_.clear(content))
--- a/src/process/coordinatorregistry.cpp
+++ b/src/process/coordinatorregistry.cpp
@@ -219,7 +219,8 @@
     if (now < cache_write_due_)
         return;
     cache_write_due_ = now + CacheWriteInterval;
-    endpoint_cache_->keep(registry_, now - MissedReportsAllowed * config_.bounds.beat);
+    endpoint_cache_->keep(registry_,
+                          now - MissedReportsAllowed * config_.bounds.heartbeat_interval);
 }
 
 } // namespace liftweir
--- a/src/process/entry.cpp
+++ b/src/process/entry.cpp
@@ -120,7 +120,7 @@
         LeaseRenewal renew;
         renew.entry = shared_.config.name;
         renew.incarnation = shared_.identity.incarnation;
-        renew.sequence = lease_.asked(node, now);
+        renew.sequence = lease_.renewal_sent(node, now);
         renew.table = builder_.version();
         renew.lease = builder_.lease_version();
         renew.want_delta = dialer.get() == source;
--- a/src/process/gateway.cpp
+++ b/src/process/gateway.cpp
@@ -78,8 +78,9 @@
     gauges_.add("liftweir_calls_in_flight", [this] { return static_cast<double>(calls_.size()); });
     gauges_.add("liftweir_requests_held",
                 [this] { return static_cast<double>(startup_queue_.size()); });
-    gauges_.add("liftweir_requests_quarantined",
-                [this] { return static_cast<double>(quarantine_.held(BootClock::now())); });
+    gauges_.add("liftweir_requests_quarantined", [this] {
+        return static_cast<double>(quarantine_.quarantined_count(BootClock::now()));
+    });
     gauges_.add("liftweir_endpoints_limited",
                 [this] { return static_cast<double>(directory_.limits().book().limited()); });
     gauges_.add("liftweir_document_version",
@@ -173,7 +174,7 @@
     }
     if (in_service(now))
         admit(exchange, request);
-    else if (leaving_since_ != Time{} || !startup_queue_.take(exchange, request, now))
+    else if (leaving_since_ != Time{} || !startup_queue_.add(exchange, request, now))
         respond_error(*exchange, request, 503, "no_settings", RetryAfterUnready);
 }
 
@@ -246,7 +247,7 @@
     const std::string labels = "route=\"" + summary.route + "\",class=\"" +
                                std::to_string(status_class(summary.status)) + "xx\"";
     metrics.counter("liftweir_calls", labels).add();
-    metrics.histogram("liftweir_call_seconds").add(to_seconds(summary.took));
+    metrics.histogram("liftweir_call_seconds").add(to_seconds(summary.duration));
     if (summary.first_event > Duration::zero()) {
         metrics.histogram("liftweir_first_event_seconds").add(to_seconds(summary.first_event));
         metrics.histogram("liftweir_longest_pause_seconds").add(to_seconds(summary.longest_pause));
@@ -288,7 +289,7 @@
 void Gateway::check_stalls(Time now) {
     std::vector<EndpointId> stalled_endpoints;
     for (const auto& [id, use] : directory_.uses())
-        if (use.watch.stalled(now) > Duration::zero())
+        if (use.stall_detector.stalled(now) > Duration::zero())
             stalled_endpoints.push_back(id);
     for (const EndpointId& id : stalled_endpoints) {
         EndpointUse& use = directory_.use(id);
@@ -308,7 +309,7 @@
     if (now - reported_at <= StallReportInterval || item == nullptr || !item->report.grouped())
         return;
     reported_at = now;
-    const StallDetector& watch = directory_.use(id).watch;
+    const StallDetector& watch = directory_.use(id).stall_detector;
     const std::int64_t silent = to_millis(watch.stalled(now));
     log(LogLevel::Info, "group stalled",
         {{"endpoint", text_of(id)},
--- a/src/process/gateway.h
+++ b/src/process/gateway.h
@@ -49,8 +49,8 @@
     const CallerProtocol& protocol() const override { return protocol_; }
     WindowedRetryBudget& budget(const std::string& service) override;
     bool discovering_endpoints(Time now) const override;
-    void note_limit(const EndpointId& id, const ResponseSignals& note, Time sent) override;
-    void note_leaving(const EndpointId& id) override;
+    void report_limit(const EndpointId& id, const ResponseSignals& note, Time sent) override;
+    void mark_leaving(const EndpointId& id) override;
     void note_backoff(const EndpointId& id, const ResponseSignals& note) override;
     void unreachable(const EndpointId& id) override;
     const Quarantine& quarantine() const override { return quarantine_; }
--- a/src/process/gatewaycontrol.cpp
+++ b/src/process/gatewaycontrol.cpp
@@ -105,7 +105,7 @@
     renew.calls = calls_admitted_;
     renew.in_flight = static_cast<std::uint32_t>(calls_.size());
     const auto node = nodes_.find(address);
-    renew.sequence = node == nodes_.end() ? 0 : lease_.asked(node->second, now);
+    renew.sequence = node == nodes_.end() ? 0 : lease_.renewal_sent(node->second, now);
     return renew;
 }
 
@@ -132,7 +132,7 @@
         on_limit_shares(address, *limit_shares);
     } else if (const auto* shares = std::get_if<GroupLoadReports>(&message)) {
         load_report_interval_ = std::chrono::milliseconds(shares->interval_ms);
-        directory_.set_load_of_others(shares->shares, load_report_interval_, BootClock::now());
+        directory_.set_load_of_others(shares->reports, load_report_interval_, BootClock::now());
     }
 }
 
@@ -191,7 +191,7 @@
     if (leader == control_.end() || !leader->second->up() || leader->second->backed_up())
         return;
     GroupLoadReports message{config_.name, 0, directory_.own_load()};
-    const bool has_some = !message.shares.empty();
+    const bool has_some = !message.reports.empty();
     if (has_some || sent_load_)
         leader->second->send(message);
     sent_load_ = has_some;
@@ -231,7 +231,7 @@
         return;
     std::size_t added = 0;
     for (const EndpointReport& report : remembered.reports) {
-        if (!directory_.registry().remember(report, now))
+        if (!directory_.registry().add_cached(report, now))
             continue;
         unconfirmed_.insert(report.id);
         ++added;
@@ -306,7 +306,7 @@
 // After a loss of all registries, control hosts receive a report of each endpoint within one
 // heartbeat interval.
 bool Gateway::discovering_endpoints(Time now) const {
-    return now - in_service_since_ < config_.bounds.beat + HeartbeatSlack;
+    return now - in_service_since_ < config_.bounds.heartbeat_interval + HeartbeatSlack;
 }
 
 // A cached endpoint without a report since is removed at its first failed connection.
--- a/src/process/gatewaylimits.cpp
+++ b/src/process/gatewaylimits.cpp
@@ -27,8 +27,8 @@
 }
 
 // Requests in flight at the endpoint continue.
-void Gateway::note_leaving(const EndpointId& id) {
-    if (!directory_.note_leaving(id, BootClock::now()))
+void Gateway::mark_leaving(const EndpointId& id) {
+    if (!directory_.mark_leaving(id, BootClock::now()))
         return;
     log(LogLevel::Info, "endpoint leaves", {{"endpoint", text_of(id)}, {"from", "answer"}});
     send_to_control(EndpointsLeaving{{id}});
@@ -36,7 +36,7 @@
 
 void Gateway::on_leaving(const EndpointsLeaving& received) {
     for (const EndpointId& id : received.ids)
-        if (directory_.note_leaving(id, BootClock::now()))
+        if (directory_.mark_leaving(id, BootClock::now()))
             log(LogLevel::Info, "endpoint leaves",
                 {{"endpoint", text_of(id)}, {"from", "control"}});
 }
@@ -52,7 +52,7 @@
         {{"endpoint", text_of(id)}, {"rest_ms", std::to_string(to_millis(note.backoff))}});
 }
 
-void Gateway::note_limit(const EndpointId& id, const ResponseSignals& note, Time sent) {
+void Gateway::report_limit(const EndpointId& id, const ResponseSignals& note, Time sent) {
     if (note.limit_fault != NumberFault::None) {
         note_ignored_header(id, "limit", note.limit_fault);
         return;
@@ -83,7 +83,7 @@
     const auto node = nodes_.find(address);
     if (node == nodes_.end())
         return;
-    if (const auto asked = lease_.asked_at(node->second, granted.sequence))
+    if (const auto asked = lease_.renewal_sent_at(node->second, granted.sequence))
         directory_.limits().grant_shares(granted.limit_shares, *asked + LimitShareTime);
 }
 
--- a/src/process/gatewayquarantine.cpp
+++ b/src/process/gatewayquarantine.cpp
@@ -19,7 +19,7 @@
     if (!quarantine_.aborted(request, id, now))
         return;
     note_quarantined(request.content, now);
-    send_to_control(SuspectRequests{{quarantine_.suspicion(request.content, now)}, {}});
+    send_to_control(SuspectRequests{{quarantine_.suspect_request(request.content, now)}, {}});
 }
 
 void Gateway::send_aborted() {
@@ -45,16 +45,16 @@
     const Time now = BootClock::now();
     for (const Fingerprint& content : received.cleared)
         quarantine_.clear(content);
-    for (const SuspectRequest& suspicion : received.known)
-        if (quarantine_.merge(suspicion, now))
-            note_quarantined(suspicion.content, now);
+    for (const SuspectRequest& suspect_request : received.known)
+        if (quarantine_.merge(suspect_request, now))
+            note_quarantined(suspect_request.content, now);
 }
 
 void Gateway::note_quarantined(const Fingerprint& content, Time now) {
-    const SuspectRequest held = quarantine_.suspicion(content, now);
+    const SuspectRequest held = quarantine_.suspect_request(content, now);
     log(LogLevel::Warning, "request under quarantine",
         {{"content", text_of(content)},
-         {"ends", std::to_string(held.ends)},
+         {"ends", std::to_string(held.crashes)},
          {"left_ms", std::to_string(held.left_ms)}});
     // Runs later from the event loop, since this function may have been called by one of the calls.
     asio::post(io_, [this] {
--- a/src/process/leaseholder.cpp
+++ b/src/process/leaseholder.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-std::uint64_t LeaseHolder::asked(NodeId node, Time now) {
+std::uint64_t LeaseHolder::renewal_sent(NodeId node, Time now) {
     LeaseAcceptor& acceptor = acceptors_[node];
     acceptor.asked[next_sequence_] = now;
     if (acceptor.asked.size() > RenewalsKept)
@@ -23,7 +23,7 @@
     return next_sequence_++;
 }
 
-std::optional<Time> LeaseHolder::asked_at(NodeId node, std::uint64_t sequence) const {
+std::optional<Time> LeaseHolder::renewal_sent_at(NodeId node, std::uint64_t sequence) const {
     const auto acceptor = acceptors_.find(node);
     if (acceptor == acceptors_.end())
         return {};
--- a/src/process/leaseholder.h
+++ b/src/process/leaseholder.h
@@ -22,9 +22,9 @@
         : voters_(std::move(voters)), incarnation_(incarnation), length_(length) {}
 
     // Records a renewal sent to one control host, and returns its sequence number.
-    std::uint64_t asked(NodeId node, Time now);
+    std::uint64_t renewal_sent(NodeId node, Time now);
     // When the renewal was sent; nullopt if it was acknowledged already or is no longer recorded.
-    std::optional<Time> asked_at(NodeId node, std::uint64_t sequence) const;
+    std::optional<Time> renewal_sent_at(NodeId node, std::uint64_t sequence) const;
     // `lease` is the settings version that this entry host has now.
     void on_lease_ack(const LeaseAck& lease_ack, Version lease, Time now);
     // End of the lease; Time{} where there never was one.
--- a/src/process/limitallocator.cpp
+++ b/src/process/limitallocator.cpp
@@ -91,7 +91,7 @@
             sum += ranked[n].weight;
             least = std::min(least, ranked[n].weight);
         }
-        return least / sum * limit.per_second >= LeastSharePerSecond;
+        return least / sum * limit.per_second >= MinSharePerSecond;
     };
     while (ranked.size() > 1 && !splits(ranked.size()))
         ranked.pop_back();
@@ -152,7 +152,7 @@
         const auto wanted = parts.find(entry);
         const double left = 1 - share_of_others(grants, entry, now);
         double part = wanted == parts.end() ? 0 : std::min(wanted->second, left);
-        if (part * limit.per_second < LeastSharePerSecond / 2 && part < 1)
+        if (part * limit.per_second < MinSharePerSecond / 2 && part < 1)
             part = 0;
         if (part > 0)
             grants[entry].push_back({part, now + LimitShareTime});
--- a/src/process/limitallocator.h
+++ b/src/process/limitallocator.h
@@ -21,16 +21,16 @@
 // The share of an endpoint's limit that one entry host may use.
 struct LimitShare {
     EndpointId endpoint;
-    double part = 0; // 0 to 1
+    double fraction = 0; // 0 to 1
 
     auto operator<=>(const LimitShare&) const = default;
-    MSGPACK_DEFINE(endpoint, part)
+    MSGPACK_DEFINE(endpoint, fraction)
 };
 
 // A share expires this long after the entry host requested it.
 constexpr Duration LimitShareTime = std::chrono::seconds(3);
 // Smallest useful share, in requests per second. A limit is not split into smaller shares.
-constexpr double LeastSharePerSecond = 0.75;
+constexpr double MinSharePerSecond = 0.75;
 
 // Used by the leading control host. The shares of an endpoint's limit that may be in use at any
 // moment add up to at most one, whichever messages are lost. Does no I/O.
--- a/src/process/quarantine.cpp
+++ b/src/process/quarantine.cpp
@@ -37,12 +37,12 @@
 
 } // namespace
 
-Duration quarantine_time(std::uint32_t ends) {
-    if (ends < CrashesToQuarantine)
+Duration quarantine_time(std::uint32_t crashes) {
+    if (crashes < CrashesToQuarantine)
         return Duration::zero();
-    if (ends == CrashesToQuarantine)
+    if (crashes == CrashesToQuarantine)
         return FirstQuarantine;
-    return ends == CrashesToQuarantine + 1 ? SecondQuarantine : LongestQuarantine;
+    return crashes == CrashesToQuarantine + 1 ? SecondQuarantine : LongestQuarantine;
 }
 
 // Returns true where the request was not in quarantine before.
@@ -55,7 +55,8 @@
 // True if this crash and the previous one may have a common cause other than the request.
 bool Quarantine::has_common_cause(const Record& record, const AbortedRequest& request, Time now) {
     const Time sent = now - std::chrono::milliseconds(request.age_ms);
-    return record.ends > 0 && now - record.last_crash < CommonCauseTime && sent < record.last_crash;
+    return record.crashes > 0 && now - record.last_crash < CommonCauseTime &&
+           sent < record.last_crash;
 }
 
 bool Quarantine::aborted(const AbortedRequest& request, const EndpointId& endpoint, Time now) {
@@ -67,8 +68,8 @@
     if (has_common_cause(record, request, now))
         return false;
     record.last_crash = now;
-    ++record.ends;
-    const Duration time = quarantine_time(record.ends);
+    ++record.crashes;
+    const Duration time = quarantine_time(record.crashes);
     return time > Duration::zero() && extend_quarantine(record, now + time, now);
 }
 
@@ -76,21 +77,21 @@
 // that arrive after the request was cleared must not count again.
 bool Quarantine::clear(const Fingerprint& content) {
     const auto found = records_.find(content);
-    if (found == records_.end() || found->second.ends == 0)
+    if (found == records_.end() || found->second.crashes == 0)
         return false;
-    found->second.ends = 0;
+    found->second.crashes = 0;
     found->second.until = {};
     return true;
 }
 
 bool Quarantine::is_suspect(const Fingerprint& content) const {
     const auto found = records_.find(content);
-    return found != records_.end() && found->second.ends > 0;
+    return found != records_.end() && found->second.crashes > 0;
 }
 
 // False if the report only holds crashes that were known when the request was cleared.
 bool Quarantine::has_new_crashes(const Record& record, const SuspectRequest& report) {
-    if (record.ends > 0 || record.endpoints.empty())
+    if (record.crashes > 0 || record.endpoints.empty())
         return true;
     return std::any_of(report.endpoints.begin(), report.endpoints.end(),
                        [&](const EndpointId& id) { return !has_endpoint(record.endpoints, id); });
@@ -102,8 +103,8 @@
     Record& record = records_[report.content];
     if (!has_new_crashes(record, report))
         return false;
-    if (report.ends > record.ends) {
-        record.ends = report.ends;
+    if (report.crashes > record.crashes) {
+        record.crashes = report.crashes;
         record.last_crash = now;
     }
     for (const EndpointId& endpoint : report.endpoints)
@@ -115,14 +116,14 @@
            extend_quarantine(record, now + std::chrono::milliseconds(report.left_ms), now);
 }
 
-Duration Quarantine::left(const Fingerprint& content, Time now) const {
+Duration Quarantine::remaining(const Fingerprint& content, Time now) const {
     const auto found = records_.find(content);
     if (found == records_.end())
         return Duration::zero();
     return std::max(found->second.until - now, Duration::zero());
 }
 
-std::size_t Quarantine::held(Time now) const {
+std::size_t Quarantine::quarantined_count(Time now) const {
     return static_cast<std::size_t>(
         std::count_if(records_.begin(), records_.end(),
                       [&](const auto& item) { return item.second.until > now; }));
@@ -131,10 +132,10 @@
 SuspectRequest Quarantine::to_suspect_request(const Fingerprint& content, const Record& record,
                                               Time now) const {
     const Duration left = std::max(record.until - now, Duration::zero());
-    return {content, record.ends, record.endpoints, static_cast<std::uint32_t>(to_millis(left))};
+    return {content, record.crashes, record.endpoints, static_cast<std::uint32_t>(to_millis(left))};
 }
 
-SuspectRequest Quarantine::suspicion(const Fingerprint& content, Time now) const {
+SuspectRequest Quarantine::suspect_request(const Fingerprint& content, Time now) const {
     const auto found = records_.find(content);
     return found == records_.end() ? SuspectRequest{content, 0, {}, 0}
                                    : to_suspect_request(content, found->second, now);
@@ -143,7 +144,7 @@
 std::vector<SuspectRequest> Quarantine::suspects_to_send(Time now) const {
     std::vector<SuspectRequest> out;
     for (const auto& [content, record] : records_)
-        if (record.ends > 1)
+        if (record.crashes > 1)
             out.push_back(to_suspect_request(content, record, now));
     return out;
 }
@@ -160,8 +161,8 @@
         return;
     const auto least =
         std::min_element(records_.begin(), records_.end(), [](const auto& a, const auto& b) {
-            return std::pair(a.second.ends, a.second.last_crash) <
-                   std::pair(b.second.ends, b.second.last_crash);
+            return std::pair(a.second.crashes, a.second.last_crash) <
+                   std::pair(b.second.crashes, b.second.last_crash);
         });
     records_.erase(least);
 }
--- a/src/process/quarantine.h
+++ b/src/process/quarantine.h
@@ -19,12 +19,12 @@
 // What one host sends another about a request that was aborted when endpoints crashed.
 struct SuspectRequest {
     Fingerprint content;
-    std::uint32_t ends = 0;            // endpoints that crashed while they had it
+    std::uint32_t crashes = 0;         // endpoints that crashed while they had it
     std::vector<EndpointId> endpoints; // the latest of these endpoints
     std::uint32_t left_ms = 0;         // remaining quarantine; 0: the request may run
 
     auto operator<=>(const SuspectRequest&) const = default;
-    MSGPACK_DEFINE(content, ends, endpoints, left_ms)
+    MSGPACK_DEFINE(content, crashes, endpoints, left_ms)
 };
 
 // A request that an endpoint aborted.
@@ -40,9 +40,9 @@
 // between.
 constexpr std::uint32_t CrashesToQuarantine = 3;
 
-// Duration of the quarantine of a request that has crashed `ends` endpoints; zero below
+// Duration of the quarantine of a request that has crashed `crashes` endpoints; zero below
 // CrashesToQuarantine.
-Duration quarantine_time(std::uint32_t ends);
+Duration quarantine_time(std::uint32_t crashes);
 
 // Requests that crashed endpoints, as one process knows them. A request is identified by its
 // content, so that it is recognised in each attempt, under each request id and at each entry host.
@@ -58,15 +58,15 @@
     bool merge(const SuspectRequest& report, Time now);
 
     // Remaining quarantine of the request; zero if it may run.
-    Duration left(const Fingerprint& content, Time now) const;
+    Duration remaining(const Fingerprint& content, Time now) const;
     // True if crashes are recorded for the request.
     bool is_suspect(const Fingerprint& content) const;
     bool empty() const { return records_.empty(); }
     std::size_t size() const { return records_.size(); }
     // Number of requests in quarantine.
-    std::size_t held(Time now) const;
-    // What is known about the request; zero `ends` if nothing is.
-    SuspectRequest suspicion(const Fingerprint& content, Time now) const;
+    std::size_t quarantined_count(Time now) const;
+    // What is known about the request; zero `crashes` if nothing is.
+    SuspectRequest suspect_request(const Fingerprint& content, Time now) const;
     // Requests to report to other hosts: those that crashed more than one endpoint.
     std::vector<SuspectRequest> suspects_to_send(Time now) const;
     // Forgets requests that have not crashed an endpoint for long.
@@ -74,7 +74,7 @@
 
   private:
     struct Record {
-        std::uint32_t ends = 0;            // crashes since the last complete answer
+        std::uint32_t crashes = 0;         // crashes since the last complete answer
         std::vector<EndpointId> endpoints; // the latest ones, also from before the answer
         Time last_crash{};
         Time until{}; // end of the quarantine
--- a/src/process/registry.cpp
+++ b/src/process/registry.cpp
@@ -205,9 +205,9 @@
 bool Registry::add_first_report(EndpointReport report, Time alive_at) {
     const Item* holder =
         report.phase == EndpointPhase::Gone ? nullptr : occupant(report.address, report.id);
-    if (holder != nullptr && !holder->remembered && !holder->report.id.started_before(report.id))
+    if (holder != nullptr && !holder->cached && !holder->report.id.started_before(report.id))
         return conflict(std::move(report), alive_at, *holder);
-    if (holder != nullptr && holder->remembered)
+    if (holder != nullptr && holder->cached)
         drop(EndpointId(holder->report.id));
     end_earlier_incarnations(report.id, alive_at);
     conflicts_.erase(report.id);
@@ -332,13 +332,13 @@
     item.last_contact = std::max(item.last_contact, alive_at);
     const bool is_change = !report.same_content(item.report);
     item.report = std::move(report);
-    item.remembered = false;
+    item.cached = false;
     if (is_change)
         update_indexes(item);
     return is_change;
 }
 
-bool Registry::remember(const EndpointReport& report, Time now) {
+bool Registry::add_cached(const EndpointReport& report, Time now) {
     const bool newer_known =
         latest(report.id.name) != nullptr || by_address_.contains(report.address);
     if (newer_known || fault_of(report) != ReportFault::None)
--- a/src/process/registry.h
+++ b/src/process/registry.h
@@ -123,7 +123,7 @@
     struct Item {
         EndpointReport report;
         Time last_contact{};      // when the endpoint was last known to be alive
-        bool remembered = false;  // only known from an endpoint cache; any endpoint may replace it
+        bool cached = false;      // only known from an endpoint cache; any endpoint may replace it
         std::uint64_t digest = 0; // of the report's content; zero if the endpoint is gone
     };
 
@@ -146,7 +146,7 @@
     bool merge(EndpointReport report, Time alive_at);
     // Adds a cached report from before a restart, unless newer information about the endpoint or
     // its address is known. Returns true where it was added.
-    bool remember(const EndpointReport& report, Time now);
+    bool add_cached(const EndpointReport& report, Time now);
     void forget(const EndpointId& id);
     // The endpoint has ended, or will end without another report. This is final.
     bool mark_gone(const EndpointId& id, Time now);
--- a/src/process/shard.cpp
+++ b/src/process/shard.cpp
@@ -57,8 +57,9 @@
   public:
     explicit CallPlacer(Shard& shard) : shard_(shard) {}
 
-    std::optional<Place> place(const CallSpec& spec, const std::vector<std::uint64_t>& avoid,
-                               bool must_resume, const std::string& version, Time now) override {
+    std::optional<PickedEndpoint> pick(const CallSpec& spec,
+                                       const std::vector<std::uint64_t>& avoid, bool must_resume,
+                                       const std::string& version, Time now) override {
         const auto table = shard_.shared_.table.load(std::memory_order_acquire);
         const std::vector<Target>* targets = nullptr;
         if (spec.is_model) {
@@ -80,8 +81,8 @@
         if (target == nullptr)
             return std::nullopt;
         stats_ = target->stats;
-        return Place{target_id(*target), target->host,    target->incarnation,
-                     target->epoch,      target->address, target->model.version};
+        return PickedEndpoint{target_id(*target), target->host,    target->incarnation,
+                              target->epoch,      target->address, target->model.version};
     }
 
     bool take_retry() override {
@@ -338,7 +339,7 @@
     });
 }
 
-void Shard::perform(ActiveCall& /*active*/, CancelSent& action) {
+void Shard::perform(ActiveCall& /*active*/, CancelRunningAttempt& action) {
     const auto dialer = dialers_.find(action.place.address);
     if (dialer != dialers_.end())
         dialer->second->send(CancelAttempt{action.id});
--- a/src/process/shard.h
+++ b/src/process/shard.h
@@ -71,7 +71,7 @@
                const std::shared_ptr<const Table>& table, const Customer& customer);
     void run_actions(ActiveCall& active, CallActions actions);
     void perform(ActiveCall& active, SendAttempt& action);
-    void perform(ActiveCall& active, CancelSent& action);
+    void perform(ActiveCall& active, CancelRunningAttempt& action);
     void perform(ActiveCall& active, SendClaim& action);
     void perform(ActiveCall& active, SendCloseClaim& action);
     void perform(ActiveCall& active, SendDropClaim& action);
--- a/src/process/siteconfig.cpp
+++ b/src/process/siteconfig.cpp
@@ -140,7 +140,7 @@
     reader.address("ready", config.ready);
     reader.address("metrics", config.metrics);
     reader.integer("tolerated_hosts", config.tolerated_hosts, 10);
-    reader.millis("beat_ms", bounds.beat);
+    reader.millis("beat_ms", bounds.heartbeat_interval);
     reader.millis("drain_ms", bounds.drain);
     reader.seconds("grace_s", bounds.grace);
     reader.millis("revoke_ms", bounds.revoke);
--- a/src/process/siteconfig.h
+++ b/src/process/siteconfig.h
@@ -17,7 +17,7 @@
 // Limits that the platform's operators promise their users. liftweir chooses its own timeouts and
 // rates within them.
 struct SiteBounds {
-    Duration beat = std::chrono::milliseconds(1200);   // heartbeat interval of an endpoint
+    Duration heartbeat_interval = std::chrono::milliseconds(1200); // of an endpoint
     Duration drain = std::chrono::milliseconds(2000);  // until a leaving endpoint gets no requests
     Duration grace = std::chrono::seconds(8);          // from SIGTERM to SIGKILL
     Duration revoke = std::chrono::milliseconds(5000); // until a removed key is rejected
--- a/src/request/call.cpp
+++ b/src/request/call.cpp
@@ -94,7 +94,7 @@
 
 void Call::send_attempt(Time now, CallActions& out) {
     const bool resuming = delivered_;
-    const auto place = picker_.place(spec_, avoid_, resuming, resuming ? version_ : "", now);
+    const auto place = picker_.pick(spec_, avoid_, resuming, resuming ? version_ : "", now);
     if (!place) {
         give_up(refusals_ > 0 ? refusal_reason_ : FailureKind::NoEndpoint,
                 "no endpoint is ready to take the request", now, out);
@@ -123,7 +123,7 @@
     assert(!done_);
     done_ = true;
     for (const RunningAttempt& attempt : running_) {
-        out.push_back(CancelSent{attempt.place, attempt.id});
+        out.push_back(CancelRunningAttempt{attempt.place, attempt.id});
         may_have_run_ = true;
     }
     running_.clear();
@@ -183,7 +183,7 @@
 void Call::keep_only(const AttemptId& id, CallActions& out) {
     for (const RunningAttempt& attempt : running_)
         if (attempt.id != id)
-            out.push_back(CancelSent{attempt.place, attempt.id});
+            out.push_back(CancelRunningAttempt{attempt.place, attempt.id});
     std::erase_if(running_, [&](const RunningAttempt& l) { return l.id != id; });
 }
 
@@ -203,7 +203,7 @@
         return out; // of an attempt that has ended or is not known
     if (chunk.number != attempt->next_chunk || !attempt->head) {
         // A missing chunk means a fault in the transport: the attempt may have run.
-        out.push_back(CancelSent{attempt->place, attempt->id});
+        out.push_back(CancelRunningAttempt{attempt->place, attempt->id});
         avoid_.push_back(attempt->place.id);
         drop(chunk.id);
         retry_or_give_up(FailureKind::EndpointFailed, true, now, out);
@@ -318,7 +318,7 @@
     hedged_ = true;
     std::vector<std::uint64_t> avoid = avoid_;
     avoid.push_back(running_.front().place.id);
-    const auto place = picker_.place(spec_, avoid, false, "", now);
+    const auto place = picker_.pick(spec_, avoid, false, "", now);
     if (!place || !picker_.take_retry())
         return out;
     RunningAttempt attempt;
@@ -337,7 +337,7 @@
         return out;
     done_ = true;
     for (const RunningAttempt& attempt : running_)
-        out.push_back(CancelSent{attempt.place, attempt.id});
+        out.push_back(CancelRunningAttempt{attempt.place, attempt.id});
     running_.clear();
     return out;
 }
--- a/src/request/call.h
+++ b/src/request/call.h
@@ -40,7 +40,7 @@
 };
 
 // The endpoint that was picked for one attempt.
-struct Place {
+struct PickedEndpoint {
     std::uint64_t id = 0; // identifies the endpoint to the EndpointPicker
     HostName host;
     Incarnation incarnation = 0;
@@ -54,9 +54,10 @@
   public:
     virtual ~EndpointPicker() = default;
     // Endpoints in `avoid` have failed this call. A resumed stream needs the same model version.
-    virtual std::optional<Place> place(const CallSpec& spec,
-                                       const std::vector<std::uint64_t>& avoid, bool must_resume,
-                                       const std::string& version, Time now) = 0;
+    virtual std::optional<PickedEndpoint> pick(const CallSpec& spec,
+                                               const std::vector<std::uint64_t>& avoid,
+                                               bool must_resume, const std::string& version,
+                                               Time now) = 0;
     virtual bool take_retry() = 0;
     // Shortest time until an endpoint may be ready again, for Retry-After.
     virtual Duration retry_after() const = 0;
@@ -64,13 +65,13 @@
 
 // Actions that a call asks of the entry host: messages to agents and to control.
 struct SendAttempt {
-    Place place;
+    PickedEndpoint place;
     AttemptId id;
     std::uint32_t resume_tokens = 0;
     Duration time_left{};
 };
-struct CancelSent {
-    Place place;
+struct CancelRunningAttempt {
+    PickedEndpoint place;
     AttemptId id;
 };
 struct SendClaim {
@@ -107,8 +108,9 @@
     bool in_stream = false;
 };
 
-using CallAction = std::variant<SendAttempt, CancelSent, SendClaim, SendCloseClaim, SendDropClaim,
-                                BeginStream, StreamBytes, EndStream, WholeAnswer, FailCall>;
+using CallAction =
+    std::variant<SendAttempt, CancelRunningAttempt, SendClaim, SendCloseClaim, SendDropClaim,
+                 BeginStream, StreamBytes, EndStream, WholeAnswer, FailCall>;
 using CallActions = std::vector<CallAction>;
 
 // One request from its arrival to its answer. The outcome is "not run" only if every attempt was
@@ -141,7 +143,7 @@
   private:
     struct RunningAttempt {
         AttemptId id;
-        Place place;
+        PickedEndpoint place;
         std::uint32_t next_chunk = 0;
         std::uint64_t bytes = 0;
         std::uint32_t resumed_at = 0;
--- a/src/request/directory.cpp
+++ b/src/request/directory.cpp
@@ -69,12 +69,12 @@
 
 void EndpointUse::sent(const EngineDemand& demand, Duration pass, Duration first_event, Time now) {
     load.add_prefill(demand);
-    watch.expect(pass, first_event);
-    watch.started(now);
+    stall_detector.expect(pass, first_event);
+    stall_detector.started(now);
 }
 
 void EndpointUse::on_event(const EngineDemand& demand, bool first, Time now) {
-    watch.progress(now, first);
+    stall_detector.progress(now, first);
     if (!first)
         return;
     load.remove_prefill(demand);
@@ -86,7 +86,7 @@
         --load.decoding;
     else
         load.remove_prefill(demand);
-    watch.ended(had_event);
+    stall_detector.ended(had_event);
 }
 
 void Directory::expire(Time now) {
@@ -121,7 +121,7 @@
 ModelShape Directory::shape_at(const EndpointReport& lead, ModelShape shape,
                                const EngineCost& engine) const {
     if (registry_.index().spans_domains(lead.membership.epoch))
-        shape.pace *= engine.cross_domain_factor;
+        shape.time_factor *= engine.cross_domain_factor;
     return shape;
 }
 
@@ -161,7 +161,7 @@
                                     const EngineCost& engine, const EngineDemand& demand,
                                     bool with_others) const {
     GroupLoad load = lead.use->load;
-    load.measured_pass_ms = lead.use->watch.pass_ms();
+    load.measured_pass_ms = lead.use->stall_detector.pass_ms();
     if (!with_others)
         return forecast(engine, model, load, demand, total_load_ratio_);
     if (const auto others = load_of_others_.find(lead.report->membership.epoch);
@@ -191,7 +191,7 @@
     use.backoff_until = std::max(use.backoff_until, now + rest);
 }
 
-bool Directory::note_leaving(const EndpointId& id, Time now) {
+bool Directory::mark_leaving(const EndpointId& id, Time now) {
     EndpointUse& use = uses_[id];
     if (use.is_leaving())
         return false;
@@ -254,7 +254,7 @@
         levels.push_back(candidate.level_ms);
     const double tokens =
         total_load_ratio_ * sent_tokens_[model.name].per_second(now) * LevelingSeconds;
-    const double inflow_ms = model.pace * tokens / engine.prefill_tokens_per_ms;
+    const double inflow_ms = model.time_factor * tokens / engine.prefill_tokens_per_ms;
     const double draw = std::uniform_real_distribution<double>(0, 1)(random_);
     return candidates[choose_by_level(levels, inflow_ms, draw)];
 }
--- a/src/request/directory.h
+++ b/src/request/directory.h
@@ -23,7 +23,7 @@
 // What this entry host knows of one endpoint beyond the endpoint's registration report.
 struct EndpointUse {
     GroupLoad load;
-    StallDetector watch;
+    StallDetector stall_detector;
     std::uint32_t in_flight = 0;
     std::uint32_t failures = 0; // consecutive ones
     Time avoid_until{};         // after a recent failure or stall
@@ -98,7 +98,7 @@
     // The endpoint requested back-off: it gets no request from this host for that time.
     void back_off(const EndpointId& id, Duration rest, Time now);
     // The endpoint announced its shutdown and accepts no new requests. False if that was known.
-    bool note_leaving(const EndpointId& id, Time now);
+    bool mark_leaving(const EndpointId& id, Time now);
     // Retry-After for a caller whose request found no endpoint; zero where nothing is known. The
     // delays differ, so that the callers do not return at the same moment.
     Duration retry_delay(const NoPick& none, Time now);
--- a/src/request/endpointlimits.cpp
+++ b/src/request/endpointlimits.cpp
@@ -11,7 +11,7 @@
 // Unused tokens accumulate up to the rate times BurstSeconds, and at least up to MinBurst requests.
 constexpr double BurstSeconds = 1.5;
 constexpr double MinBurst = 1.5;
-static_assert(MinBurst <= 2 * LeastSharePerSecond);
+static_assert(MinBurst <= 2 * MinSharePerSecond);
 // Without a valid grant a host uses this part of its last share, or of its share of the load if it
 // never had a grant: hosts with and without a connection to control together must not exceed the
 // limit by much.
@@ -36,7 +36,7 @@
         Use& use = uses_[limit_share.endpoint];
         if (until < use.until)
             continue;
-        use.part = limit_share.part;
+        use.part = limit_share.fraction;
         use.until = until;
     }
 }
--- a/src/request/groupload.cpp
+++ b/src/request/groupload.cpp
@@ -53,8 +53,8 @@
 Duration longest_pass(const EngineCost& engine, const ModelShape& model) {
     const double step = engine.step_ms + engine.step_ms_per_sequence * engine.slots +
                         engine.chunk / engine.prefill_tokens_per_ms;
-    return std::chrono::duration_cast<Duration>(
-        std::chrono::duration<double, std::milli>(model.pace * engine.steps_per_pass * step));
+    return std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(
+        model.time_factor * engine.steps_per_pass * step));
 }
 
 LoadForecast forecast(const EngineCost& engine, const ModelShape& model, const GroupLoad& load,
@@ -71,20 +71,21 @@
     const double prefill_in_pass = std::min(max_prefill_per_pass, waiting_tokens);
     const double steps =
         engine.steps_per_pass * (engine.step_ms + engine.step_ms_per_sequence * sequences);
-    const double planned = model.pace * (steps + prefill_in_pass / engine.prefill_tokens_per_ms);
+    const double planned =
+        model.time_factor * (steps + prefill_in_pass / engine.prefill_tokens_per_ms);
     const double slowdown =
         load.measured_pass_ms > 0 && planned > 0
             ? std::clamp(load.measured_pass_ms / planned, MinSlowdown, MaxSlowdown)
             : 1.0;
-    const double full_pass =
-        model.pace * (steps + std::min(max_prefill_per_pass, waiting_tokens + prompt_tokens) /
-                                  engine.prefill_tokens_per_ms);
+    const double full_pass = model.time_factor * (steps + std::min(max_prefill_per_pass,
+                                                                   waiting_tokens + prompt_tokens) /
+                                                              engine.prefill_tokens_per_ms);
     const double passes =
         std::ceil((waiting_tokens + prompt_tokens) / std::max(1.0, max_prefill_per_pass));
     LoadForecast out;
     out.in_flight = sequences;
     out.pause_ms = full_pass * slowdown;
-    out.first_event_ms = (planned / 2 + passes * full_pass + model.pace * steps) * slowdown;
+    out.first_event_ms = (planned / 2 + passes * full_pass + model.time_factor * steps) * slowdown;
     return out;
 }
 
--- a/src/request/relayedanswer.cpp
+++ b/src/request/relayedanswer.cpp
@@ -42,20 +42,20 @@
         on_broken("the answer belongs to another request");
         return;
     }
-    note_limit();
+    report_limit();
     note_backoff();
     if (signals_.leaving && !signals_.misdirected)
-        host_.note_leaving(endpoint_);
+        host_.mark_leaving(endpoint_);
     streaming_ = status_class(head.status) == 2 && is_event_stream(head);
     if (response_started_ && !streaming_ && !signals_.not_run)
         on_broken("the endpoint did not resume the stream");
 }
 
 // A server error without a rate limit does not revoke a limit that was reported before.
-void RelayedCall::note_limit() {
+void RelayedCall::report_limit() {
     const bool named = signals_.limit_per_second > 0 || signals_.limit_fault != NumberFault::None;
     if (!signals_.misdirected && (named || status_class(head_.status) != 5))
-        host_.note_limit(endpoint_, signals_, sent_at_);
+        host_.report_limit(endpoint_, signals_, sent_at_);
 }
 
 void RelayedCall::note_backoff() {
@@ -134,7 +134,8 @@
         report_aborted();
     if (how != CallEnd::Complete) {
         host_.directory().failed(endpoint_, BootClock::now());
-        on_broken(how == CallEnd::Broken ? "the endpoint aborted the request" : "not a valid response");
+        on_broken(how == CallEnd::Broken ? "the endpoint aborted the request"
+                                         : "not a valid response");
         return;
     }
     if (signals_.not_run) {
@@ -212,7 +213,7 @@
 
 void RelayedCall::complete_stream() {
     clear_suspicion();
-    std::string rest = splitter_.rest();
+    std::string rest = splitter_.remaining();
     if (!rest.empty() && response_started_)
         forward_bytes(std::move(rest));
     host_.directory().succeeded(endpoint_);
--- a/src/request/relayedcall.cpp
+++ b/src/request/relayedcall.cpp
@@ -100,7 +100,7 @@
     const Quarantine& quarantine = host_.quarantine();
     if (quarantine.empty())
         return false;
-    const Duration left = quarantine.left(fingerprint(), now);
+    const Duration left = quarantine.remaining(fingerprint(), now);
     if (left <= Duration::zero())
         return false;
     Metrics::instance().counter("liftweir_quarantine_refused").add();
@@ -110,7 +110,8 @@
 
 // Cancels an attempt that has no event yet, before the request can crash that endpoint as well.
 void RelayedCall::check_quarantine(Time now) {
-    if (done_ || first_seen_ || host_.quarantine().left(fingerprint(), now) <= Duration::zero())
+    if (done_ || first_seen_ ||
+        host_.quarantine().remaining(fingerprint(), now) <= Duration::zero())
         return;
     if (!endpoint_.empty()) {
         release_endpoint();
@@ -135,7 +136,7 @@
 // A caller may have disconnected while this process was busy or suspended, with the close not read
 // yet. Checking the connection before sending saves the endpoint a useless run.
 void RelayedCall::send(const Pick& pick, Time now) {
-    if (exchange_->left()) {
+    if (exchange_->disconnected_at()) {
         on_caller_disconnected();
         return;
     }
@@ -150,7 +151,7 @@
     const ForwardedFields fields{endpoint_, plan_.customer, deadline_ - now, last_event_,
                                  low_priority_};
     ChannelOptions options;
-    options.fresh = !plan_.route->repeatable();
+    options.new_connection = !plan_.route->repeatable();
     options.connect_timeout = ConnectTimeout;
     options.max_idle_connections = host_.directory().connections_allowed(*plan_.service);
     call_ = host_.pool().start(pick.address, host_.protocol().forward(*exchange_, fields),
@@ -197,7 +198,7 @@
     const std::weak_ptr<RelayedCall> weak = weak_from_this();
     CallEvents events;
     events.on_connected = [weak] {
-        if (const auto self = weak.lock(); self && self->exchange_->left())
+        if (const auto self = weak.lock(); self && self->exchange_->disconnected_at())
             self->on_caller_disconnected();
     };
     events.on_head = [weak](const HttpResponseHead& head) {
@@ -295,7 +296,7 @@
         return;
     const bool at_endpoint = !endpoint_.empty();
     release_endpoint();
-    if (const auto left = exchange_->left(); left && at_endpoint)
+    if (const auto left = exchange_->disconnected_at(); left && at_endpoint)
         cancel_delay_ = BootClock::now() - *left;
     finish(0, "the caller disconnected");
 }
--- a/src/request/relayedcall.h
+++ b/src/request/relayedcall.h
@@ -25,7 +25,7 @@
 struct CallSummary {
     std::string route;
     int status = 0; // 0: the response was not completed
-    Duration took{};
+    Duration duration{};
     Duration first_event{}; // zero if no stream began
     Duration longest_pause{};
     std::uint32_t sends = 0;
@@ -54,11 +54,11 @@
     virtual void cleared(const Fingerprint& content) = 0;
     // The endpoint's response to a request sent at `sent` reports a rate limit, an invalid one or
     // none.
-    virtual void note_limit(const EndpointId& id, const ResponseSignals& signals, Time sent) = 0;
+    virtual void report_limit(const EndpointId& id, const ResponseSignals& signals, Time sent) = 0;
     // The endpoint rejected a request and requested back-off, possibly with an invalid time.
     virtual void note_backoff(const EndpointId& id, const ResponseSignals& signals) = 0;
     // The endpoint announced its shutdown in a response.
-    virtual void note_leaving(const EndpointId& id) = 0;
+    virtual void mark_leaving(const EndpointId& id) = 0;
     // An endpoint did not accept a connection.
     virtual void unreachable(const EndpointId& id) = 0;
     // The call has ended; the host may destroy it from now on.
@@ -124,7 +124,7 @@
 
     // the endpoint's response
     void on_head(const HttpResponseHead& head);
-    void note_limit();
+    void report_limit();
     void note_backoff();
     void on_body(std::string_view bytes);
     void on_end(CallEnd how);
--- a/src/request/startupqueue.cpp
+++ b/src/request/startupqueue.cpp
@@ -19,8 +19,8 @@
 
 } // namespace
 
-bool StartupQueue::take(const std::shared_ptr<HttpExchange>& exchange, const CallerRequest& request,
-                        Time now) {
+bool StartupQueue::add(const std::shared_ptr<HttpExchange>& exchange, const CallerRequest& request,
+                       Time now) {
     if (queued_.size() >= MaxQueued)
         return false;
     const Duration hold_time = request.time_limit
--- a/src/request/startupqueue.h
+++ b/src/request/startupqueue.h
@@ -22,8 +22,7 @@
     };
 
     // False if the queue is full: the request has to be rejected at once.
-    bool take(const std::shared_ptr<HttpExchange>& exchange, const CallerRequest& request,
-              Time now);
+    bool add(const std::shared_ptr<HttpExchange>& exchange, const CallerRequest& request, Time now);
     // Takes out all requests whose callers are still connected, in the order of their arrival.
     std::vector<QueuedRequest> release();
     // Takes out the requests whose hold time has ended and that have to be rejected now.
--- a/src/version/deployment.h
+++ b/src/version/deployment.h
@@ -55,14 +55,14 @@
     std::string name;
     std::uint32_t size = 1; // hosts of one group
     double share = 1;       // initial share of the hosts
-    double pace = 1;        // factor on all engine times
+    double time_factor = 1; // factor on all engine times
     Duration load{};        // time to load the weights from the weight store
     Duration warm_join{};   // time to join a group with the weights already on the host
 
     auto operator<=>(const ModelShape&) const = default;
 };
 
-// Cost model of an engine. Times are for pace 1.
+// Cost model of an engine. Times are for a `time_factor` of 1.
 struct EngineCost {
     std::uint32_t slots = 1;          // requests that a group processes concurrently
     double step_ms = 0;               // time of one decoding step
--- a/src/version/keys.h
+++ b/src/version/keys.h
@@ -22,7 +22,7 @@
     std::string_view unit;
     double min;
     double max;
-    std::string_view fallback; // default value as JSON text
+    std::string_view default_value; // as JSON text
     std::string_view doc;
     std::vector<std::string_view> choices = {};
 };
--- a/src/version/settings.cpp
+++ b/src/version/settings.cpp
@@ -73,7 +73,7 @@
                                                const std::string& key) const {
     std::vector<ExplainStep> steps;
     if (const KeySpec* spec = find_key(key))
-        steps.push_back({"", std::string(spec->fallback), 0, "default"});
+        steps.push_back({"", std::string(spec->default_value), 0, "default"});
     for (const auto& path : levels_to(site)) {
         const auto setting = at(path, key);
         if (setting && !setting->text.empty())
@@ -123,7 +123,7 @@
         return found->second;
     const KeySpec* spec = find_key(key);
     assert(spec != nullptr);
-    return parse_json(spec->fallback).value();
+    return parse_json(spec->default_value).value();
 }
 
 bool SiteSettings::boolean(const std::string& key) const {
--- a/src/version/state.cpp
+++ b/src/version/state.cpp
@@ -161,7 +161,7 @@
         return done(index);
     }
     QuarantineRecord& record = quarantined_[c.content];
-    record.ends = std::max(record.ends, c.ends);
+    record.crashes = std::max(record.crashes, c.crashes);
     record.until_ms = std::max(record.until_ms, c.until_ms);
     if (quarantined_.size() > MaxQuarantinedRequests)
         quarantined_.erase(std::min_element(
--- a/src/version/state.h
+++ b/src/version/state.h
@@ -273,17 +273,17 @@
 // no endpoint. Times are wall times of the leader.
 struct QuarantineRequest {
     Fingerprint content;
-    std::uint32_t ends = 0;    // endpoints that the request has crashed
+    std::uint32_t crashes = 0; // endpoints that the request has crashed
     std::int64_t until_ms = 0; // 0 lifts the quarantine
     std::int64_t now_ms = 0;   // time of the decision
-    MSGPACK_DEFINE(content, ends, until_ms, now_ms)
+    MSGPACK_DEFINE(content, crashes, until_ms, now_ms)
 };
 
 struct QuarantineRecord {
-    std::uint32_t ends = 0;
+    std::uint32_t crashes = 0;
     std::int64_t until_ms = 0;
     auto operator<=>(const QuarantineRecord&) const = default;
-    MSGPACK_DEFINE(ends, until_ms)
+    MSGPACK_DEFINE(crashes, until_ms)
 };
 
 // The document in force, with the index of the log entry that set it.
--- a/tests/unit/call_test.cpp
+++ b/tests/unit/call_test.cpp
@@ -12,12 +12,14 @@
 
 class FakePicker final : public EndpointPicker {
   public:
-    std::optional<Place> place(const CallSpec&, const std::vector<std::uint64_t>& avoid,
-                               bool must_resume, const std::string& version, Time) override {
+    std::optional<PickedEndpoint> pick(const CallSpec&, const std::vector<std::uint64_t>& avoid,
+                                       bool must_resume, const std::string& version,
+                                       Time) override {
         for (std::uint64_t id = 1; id <= count; ++id) {
             const bool failed = std::find(avoid.begin(), avoid.end(), id) != avoid.end();
             if (!failed && (!must_resume || resumes) && (version.empty() || version == "1"))
-                return Place{id, "h" + std::to_string(id), 1, id, "a" + std::to_string(id), "1"};
+                return PickedEndpoint{id, "h" + std::to_string(id), 1,
+                                      id, "a" + std::to_string(id), "1"};
         }
         return std::nullopt;
     }
@@ -162,7 +164,7 @@
     EXPECT_NE(first, hedge);
     call.on_head({hedge, 200, "text/event-stream"}, Start);
     const auto won = call.on_chunk({hedge, 0, 1, "x"}, Start);
-    EXPECT_EQ(all<CancelSent>(won).at(0).id, first);
+    EXPECT_EQ(all<CancelRunningAttempt>(won).at(0).id, first);
     EXPECT_TRUE(call.on_chunk({first, 0, 1, "y"}, Start).empty());
 }
 
@@ -202,7 +204,7 @@
     const AttemptId first = sent(call.start(Start));
     const AttemptId hedge = sent(call.on_timer(Start + std::chrono::milliseconds(100)));
     const auto end = call.on_broken({first, true, FailureKind::EndpointFailed, true, true}, Start);
-    EXPECT_EQ(all<CancelSent>(end).at(0).id, hedge);
+    EXPECT_EQ(all<CancelRunningAttempt>(end).at(0).id, hedge);
     EXPECT_EQ(all<FailCall>(end).size(), 1u);
 }
 
--- a/tests/unit/callerapi_test.cpp
+++ b/tests/unit/callerapi_test.cpp
@@ -30,7 +30,7 @@
     void write(std::string, std::function<void(bool)>) override {}
     void finish() override {}
     void abort() override {}
-    std::optional<Time> left() const override { return {}; }
+    std::optional<Time> disconnected_at() const override { return {}; }
     void on_disconnect(std::function<void()>) override {}
 
     std::string method_ = "POST";
--- a/tests/unit/deployment_test.cpp
+++ b/tests/unit/deployment_test.cpp
@@ -117,7 +117,7 @@
     EXPECT_EQ(second, "id: 2\r\ndata: b\r\n\r\n");
     EXPECT_EQ(id_of_event(second), "2");
     EXPECT_EQ(splitter.next(), "");
-    EXPECT_EQ(splitter.rest(), "data");
+    EXPECT_EQ(splitter.remaining(), "data");
 }
 
 RC_GTEST_PROP(EventSplitter, EventsDoNotDependOnHowTheBytesArrive, ()) {
--- a/tests/unit/directory_test.cpp
+++ b/tests/unit/directory_test.cpp
@@ -74,9 +74,9 @@
 TEST(Registry, CachedReportDoesNotReplaceANewerOne) {
     Registry registry;
     registry.merge(plain("new", "10.0.0.1:80"), Start);
-    EXPECT_FALSE(registry.remember(plain("old", "10.0.0.1:80"), Start));
-    EXPECT_FALSE(registry.remember(plain("new", "10.0.0.9:80"), Start));
-    EXPECT_TRUE(registry.remember(plain("other", "10.0.0.2:80"), Start));
+    EXPECT_FALSE(registry.add_cached(plain("old", "10.0.0.1:80"), Start));
+    EXPECT_FALSE(registry.add_cached(plain("new", "10.0.0.9:80"), Start));
+    EXPECT_TRUE(registry.add_cached(plain("other", "10.0.0.2:80"), Start));
     registry.forget("other");
     EXPECT_EQ(registry.find("other"), nullptr);
     EXPECT_EQ(registry.find("new")->report.phase, EndpointPhase::Serving);
--- a/tests/unit/directoryscale_test.cpp
+++ b/tests/unit/directoryscale_test.cpp
@@ -68,10 +68,10 @@
     for (const std::string model : {"large", "small"}) {
         const Demand demand = demand_of(service, model);
         ASSERT_TRUE(directory.pick(demand, {}, Start));
-        const Duration begun = cpu_time();
+        const Duration started = cpu_time();
         for (int n = 0; n < Choices; ++n)
             ASSERT_TRUE(directory.pick(demand, {}, Start));
-        const Duration each = (cpu_time() - begun) / Choices;
+        const Duration each = (cpu_time() - started) / Choices;
         EXPECT_LT(each, MaxTimePerChoice)
             << model << ": " << to_exact_millis(each) << " ms of a core each";
     }
--- a/tests/unit/endpointcachefile_test.cpp
+++ b/tests/unit/endpointcachefile_test.cpp
@@ -35,9 +35,9 @@
 }
 
 TEST(EndpointCacheFile, KeepsServingEndpointsWithRecentContact) {
-    auto folder = open_directory(testing::TempDir() + "/roster-keeps");
-    ASSERT_TRUE(folder);
-    const std::shared_ptr<Storage> storage = std::move(*folder);
+    auto directory = open_directory(testing::TempDir() + "/roster-keeps");
+    ASSERT_TRUE(directory);
+    const std::shared_ptr<Storage> storage = std::move(*directory);
     EndpointCacheFile cached(storage);
     EXPECT_TRUE(cached.load().empty());
     Registry registry;
--- a/tests/unit/endpointlimits_test.cpp
+++ b/tests/unit/endpointlimits_test.cpp
@@ -272,15 +272,15 @@
     LimitAllocator allocator;
     allocator.take_over(Start - seconds(60));
     allocator.seen("front-0", 1, 0, Start);
-    EXPECT_EQ(allocator.grant_shares("front-0", book, Start)->front().part, 1);
+    EXPECT_EQ(allocator.grant_shares("front-0", book, Start)->front().fraction, 1);
     allocator.seen("front-1", 1, 0, Start);
     const Time last = Start + milliseconds(3900);
-    EXPECT_EQ(allocator.grant_shares("front-0", book, last)->front().part, 1);
-    EXPECT_EQ(allocator.grant_shares("front-0", book, last + seconds(1))->front().part, 0.5);
-    EXPECT_EQ(allocator.grant_shares("front-1", book, last + seconds(1))->front().part, 0);
+    EXPECT_EQ(allocator.grant_shares("front-0", book, last)->front().fraction, 1);
+    EXPECT_EQ(allocator.grant_shares("front-0", book, last + seconds(1))->front().fraction, 0.5);
+    EXPECT_EQ(allocator.grant_shares("front-1", book, last + seconds(1))->front().fraction, 0);
     const auto later =
         allocator.grant_shares("front-1", book, last + LimitShareTime + milliseconds(10));
-    EXPECT_EQ(later->front().part, 0.5);
+    EXPECT_EQ(later->front().fraction, 0.5);
 }
 
 TEST(EndpointLimits, RejectedCallersGetSpacedRetryDelays) {
--- a/tests/unit/endpointstart_test.cpp
+++ b/tests/unit/endpointstart_test.cpp
@@ -190,9 +190,9 @@
 
 TEST(EndpointStart, ALaterStartReplacesACachedOne) {
     Registry registry;
-    registry.remember(report_of(start_of("i-1", 1), 9), Start);
+    registry.add_cached(report_of(start_of("i-1", 1), 9), Start);
     EXPECT_TRUE(registry.merge(report_of(start_of("i-1", 2), 1), Start));
-    EXPECT_FALSE(registry.remember(report_of(start_of("i-1", 1), 9), Start));
+    EXPECT_FALSE(registry.add_cached(report_of(start_of("i-1", 1), 9), Start));
     EXPECT_TRUE(is_present(registry, start_of("i-1", 2)));
     EXPECT_FALSE(is_present(registry, start_of("i-1", 1)));
     // Every id that is returned as resolved must still be in the registry. A cached one was once
@@ -328,7 +328,7 @@
         Registry registry;
         registry.merge(report_of("i-1", 1), Start);
         EXPECT_FALSE(registry.merge(report, Start));
-        EXPECT_FALSE(registry.remember(report, Start));
+        EXPECT_FALSE(registry.add_cached(report, Start));
         EXPECT_EQ(registry.items().size(), 1u);
     }
 }
--- a/tests/unit/fleet_test.cpp
+++ b/tests/unit/fleet_test.cpp
@@ -210,8 +210,8 @@
 
 class VoterSelectorTest : public testing::Test {
   protected:
-    static NodeId node(int host, NodeId folder = 0) {
-        return founder_node("10.0.0." + std::to_string(host)) | folder << 32;
+    static NodeId node(int host, NodeId directory = 0) {
+        return founder_node("10.0.0." + std::to_string(host)) | directory << 32;
     }
     static NodeView live(NodeId n) { return {n, true, milliseconds(50)}; }
     static NodeView silent(NodeId n) { return {n, false, seconds(5)}; }
@@ -353,18 +353,19 @@
 TEST(LoadBudget, StaysUnderTheCeilingInEveryWindow) {
     LoadBudget budget;
     budget.configure(3, seconds(5));
-    std::vector<Time> begun;
+    std::vector<Time> started;
     for (Time now = Start; now < Start + seconds(30); now += milliseconds(50))
         if (budget.allows(now)) {
             budget.record_start(now);
-            begun.push_back(now);
+            started.push_back(now);
         }
-    for (const Time from : begun) {
-        const auto in_window = std::count_if(
-            begun.begin(), begun.end(), [&](Time t) { return t >= from && t < from + seconds(5); });
+    for (const Time from : started) {
+        const auto in_window = std::count_if(started.begin(), started.end(), [&](Time t) {
+            return t >= from && t < from + seconds(5);
+        });
         EXPECT_LE(in_window, 15);
     }
-    EXPECT_GT(begun.size(), 40u);
+    EXPECT_GT(started.size(), 40u);
 }
 
 TEST(WindowedRetryBudget, RepeatsAreAShareOfRequestsInEveryWindow) {
--- a/tests/unit/gate_test.cpp
+++ b/tests/unit/gate_test.cpp
@@ -104,21 +104,21 @@
 
 TEST(LeaseHolder, NeedsAMajorityWithoutNewerSettings) {
     LeaseHolder lease({1, 2, 3}, 9);
-    const auto a = lease.asked(1, Start);
-    const auto b = lease.asked(2, Start + milliseconds(10));
+    const auto a = lease.renewal_sent(1, Start);
+    const auto b = lease.renewal_sent(2, Start + milliseconds(10));
     lease.on_lease_ack(lease_ack(1, a, 5), 5, Start + milliseconds(50));
     EXPECT_EQ(lease.valid_until(), Time{});
     lease.on_lease_ack(lease_ack(2, b, 6), 5, Start + milliseconds(60));
     EXPECT_EQ(lease.valid_until(), Time{}) << "host 2 has logged something newer";
     EXPECT_TRUE(lease.behind());
-    const auto c = lease.asked(2, Start + milliseconds(100));
+    const auto c = lease.renewal_sent(2, Start + milliseconds(100));
     lease.on_lease_ack(lease_ack(2, c, 6), 6, Start + milliseconds(900));
     EXPECT_EQ(lease.valid_until(), Start + SettingsLease) << "counts from the older renewal";
 }
 
 TEST(LeaseHolder, AnUnsolicitedAcknowledgementDoesNotExtendIt) {
     LeaseHolder lease({1}, 9);
-    lease.asked(1, Start);
+    lease.renewal_sent(1, Start);
     lease.on_lease_ack(lease_ack(1, 0, 5), 5, Start);
     EXPECT_EQ(lease.valid_until(), Time{});
 }
--- a/tests/unit/groupplanner_test.cpp
+++ b/tests/unit/groupplanner_test.cpp
@@ -304,17 +304,17 @@
 
 TEST(LoadBudget, HoldsAcrossTwoLeaderChangesWithinOneWindow) {
     Time now{seconds(100)};
-    std::size_t begun = 0;
+    std::size_t started = 0;
     for (int leader = 0; leader < 3; ++leader) {
         LoadBudget budget;
         budget.configure(3, seconds(5));
         if (leader > 0)
             budget.assume_started(leader > 1, now);
-        for (; budget.allows(now); ++begun)
+        for (; budget.allows(now); ++started)
             budget.record_start(now);
         now += seconds(1);
     }
-    EXPECT_LE(begun, 3u * 5u);
+    EXPECT_LE(started, 3u * 5u);
 }
 
 TEST_F(PlannerTest, AnUnansweredJoinDissolvesTheGroup) {
--- a/tests/unit/groupsimulator.cpp
+++ b/tests/unit/groupsimulator.cpp
@@ -85,7 +85,7 @@
     for (std::size_t host = 0; host < hosts_.size(); ++host)
         for (Group& group : groups_) {
             EndpointUse& use = hosts_[host].use(group.lead);
-            if (use.watch.stalled(now) == Duration::zero())
+            if (use.stall_detector.stalled(now) == Duration::zero())
                 continue;
             use.avoid_until = now + AvoidStalledFor;
             move_requests(group, host, now);
@@ -205,7 +205,7 @@
         prefill_budget -= part;
         prefilled += part;
     }
-    return shape.pace *
+    return shape.time_factor *
            (engine_.steps_per_pass * (engine_.step_ms + engine_.step_ms_per_sequence * decoders) +
             prefilled / engine_.prefill_tokens_per_ms);
 }
@@ -247,11 +247,10 @@
     group.pass_ends = group.requests.empty() ? now : now + millis(start_pass(group));
 }
 
-std::vector<SimulatedResult> GroupSimulator::play(const std::vector<SimulatedRequestKind>& kinds,
-                                                  Duration goal, Duration pause_goal,
-                                                  Duration length,
-                                                  const std::vector<Duration>& losses,
-                                                  Duration repair) {
+std::vector<SimulatedResult>
+GroupSimulator::simulate(const std::vector<SimulatedRequestKind>& kinds, Duration goal,
+                         Duration pause_goal, Duration length, const std::vector<Duration>& losses,
+                         Duration repair) {
     kinds_ = kinds;
     results_.assign(kinds.size(), {});
     goal_ = goal;
--- a/tests/unit/groupsimulator.h
+++ b/tests/unit/groupsimulator.h
@@ -48,9 +48,9 @@
 
     // Simulates `length`. At each time in `losses` a group is lost; another one serves `repair`
     // later.
-    std::vector<SimulatedResult> play(const std::vector<SimulatedRequestKind>& kinds, Duration goal,
-                                      Duration pause_goal, Duration length,
-                                      const std::vector<Duration>& losses, Duration repair);
+    std::vector<SimulatedResult> simulate(const std::vector<SimulatedRequestKind>& kinds,
+                                          Duration goal, Duration pause_goal, Duration length,
+                                          const std::vector<Duration>& losses, Duration repair);
 
   private:
     struct Request {
--- a/tests/unit/httpchannel_test.cpp
+++ b/tests/unit/httpchannel_test.cpp
@@ -105,7 +105,7 @@
 TEST_F(ChannelTest, OpensANewConnectionOnRequest) {
     scripts_ = {{Good}, {Good}};
     EXPECT_EQ(call().end, CallEnd::Complete);
-    EXPECT_EQ(call({.fresh = true}).end, CallEnd::Complete);
+    EXPECT_EQ(call({.new_connection = true}).end, CallEnd::Complete);
     EXPECT_EQ(accepted_, 2);
 }
 
--- a/tests/unit/httpserver_test.cpp
+++ b/tests/unit/httpserver_test.cpp
@@ -321,7 +321,9 @@
 
 TEST_F(DisconnectTest, ACloseRightAfterARequestIsKnownWithTheRequest) {
     int left = 0;
-    handler_ = [&](const std::shared_ptr<HttpExchange>& e) { left += e->left() ? 1 : 0; };
+    handler_ = [&](const std::shared_ptr<HttpExchange>& e) {
+        left += e->disconnected_at() ? 1 : 0;
+    };
     Caller closes(io_, address_);
     closes.send(PlainRequest);
     closes.disconnect();
--- a/tests/unit/overload_test.cpp
+++ b/tests/unit/overload_test.cpp
@@ -20,8 +20,8 @@
     std::vector<SimulatedResult> sum(kinds.size());
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         GroupSimulator player(simulated_engine(), 2, 5, seed);
-        const auto one = player.play(kinds, milliseconds(400), milliseconds(300), seconds(30),
-                                     losses, milliseconds(900));
+        const auto one = player.simulate(kinds, milliseconds(400), milliseconds(300), seconds(30),
+                                         losses, milliseconds(900));
         for (std::size_t i = 0; i < kinds.size(); ++i) {
             sum[i].asked += one[i].asked;
             sum[i].in_time += one[i].in_time;
@@ -57,8 +57,8 @@
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
         GroupSimulator player(simulated_engine(), 10, 50, seed);
         player.exchange_shares();
-        const auto one = player.play({{80, 1460, 19}, {40, 2000, 5}}, milliseconds(500),
-                                     milliseconds(400), seconds(20), losses, milliseconds(900));
+        const auto one = player.simulate({{80, 1460, 19}, {40, 2000, 5}}, milliseconds(500),
+                                         milliseconds(400), seconds(20), losses, milliseconds(900));
         for (std::size_t i = 0; i < sum.size(); ++i) {
             sum[i].asked += one[i].asked;
             sum[i].in_time += one[i].in_time;
--- a/tests/unit/plannerrounds_test.cpp
+++ b/tests/unit/plannerrounds_test.cpp
@@ -45,9 +45,9 @@
         Duration longest{};
         for (int n = 0; n < rounds; ++n) {
             now_ += milliseconds(150);
-            const Duration begun = cpu_time();
+            const Duration started = cpu_time();
             std::vector<EndpointOrder> orders = planner_.plan(registry_, now_);
-            longest = std::max(longest, cpu_time() - begun);
+            longest = std::max(longest, cpu_time() - started);
             const auto joins = planner_.recorded(planner_.take_changes(), registry_, now_);
             orders.insert(orders.end(), joins.begin(), joins.end());
             orders_ += orders.size();
--- a/tests/unit/quarantine_test.cpp
+++ b/tests/unit/quarantine_test.cpp
@@ -42,10 +42,10 @@
     Quarantine quarantine;
     EXPECT_FALSE(quarantine.aborted(aborted_late(Poison), endpoint(0), Start));
     EXPECT_FALSE(quarantine.aborted(aborted_late(Poison), endpoint(1), Start + seconds(1)));
-    EXPECT_EQ(quarantine.left(Poison, Start + seconds(1)), Duration::zero());
+    EXPECT_EQ(quarantine.remaining(Poison, Start + seconds(1)), Duration::zero());
     EXPECT_TRUE(quarantine.aborted(aborted_late(Poison), endpoint(2), Start + seconds(2)));
-    EXPECT_GT(quarantine.left(Poison, Start + seconds(2)), minutes(9));
-    EXPECT_EQ(quarantine.left(Other, Start + seconds(2)), Duration::zero());
+    EXPECT_GT(quarantine.remaining(Poison, Start + seconds(2)), minutes(9));
+    EXPECT_EQ(quarantine.remaining(Other, Start + seconds(2)), Duration::zero());
     EXPECT_EQ(quarantine.held(Start + seconds(2)), 1u);
 }
 
@@ -53,14 +53,14 @@
     Quarantine quarantine;
     for (int n = 0; n < 9; ++n)
         quarantine.aborted(aborted_late(Poison), endpoint(0), Start + seconds(n));
-    EXPECT_EQ(quarantine.suspicion(Poison, Start).ends, 1u);
+    EXPECT_EQ(quarantine.suspect_request(Poison, Start).crashes, 1u);
 }
 
 TEST(Quarantine, IncarnationsUnderOneNameCountSeparately) {
     Quarantine quarantine;
     for (std::uint64_t start = 1; start <= 3; ++start)
         quarantine.aborted(aborted_late(Poison), {"i-0", start}, Start + seconds(start));
-    EXPECT_GT(quarantine.left(Poison, Start + seconds(3)), Duration::zero());
+    EXPECT_GT(quarantine.remaining(Poison, Start + seconds(3)), Duration::zero());
 }
 
 // Returns whether the request is quarantined after it crashed `ends` endpoints at intervals of
@@ -69,7 +69,7 @@
     Quarantine quarantine;
     for (std::size_t n = 0; n < ends; ++n)
         quarantine.aborted(request, endpoint(n), Start + static_cast<int>(n) * apart);
-    return quarantine.left(Poison, Start + seconds(1)) > Duration::zero();
+    return quarantine.remaining(Poison, Start + seconds(1)) > Duration::zero();
 }
 
 TEST(Quarantine, SimultaneousCrashesHaveOneCause) {
@@ -92,19 +92,19 @@
     EXPECT_TRUE(quarantine.clear(Poison));
     EXPECT_FALSE(quarantine.clear(Poison));
     EXPECT_FALSE(quarantine.aborted(aborted_late(Poison), endpoint(7), last + seconds(1)));
-    EXPECT_EQ(quarantine.suspicion(Poison, last).ends, 1u);
+    EXPECT_EQ(quarantine.suspect_request(Poison, last).crashes, 1u);
 }
 
 TEST(Quarantine, IgnoresDelayedReportsOfCrashesBeforeAnAnswer) {
     Quarantine quarantine;
     const Time last = crash_endpoints(quarantine, 3);
-    const SuspectRequest before = quarantine.suspicion(Poison, last);
+    const SuspectRequest before = quarantine.suspect_request(Poison, last);
     quarantine.clear(Poison);
     for (std::size_t n = 0; n < 3; ++n)
         EXPECT_FALSE(quarantine.aborted(aborted_late(Poison), endpoint(n), last + seconds(n + 1)));
     EXPECT_FALSE(quarantine.merge(before, last + seconds(4)));
     EXPECT_FALSE(quarantine.is_suspect(Poison));
-    EXPECT_EQ(quarantine.left(Poison, last), Duration::zero());
+    EXPECT_EQ(quarantine.remaining(Poison, last), Duration::zero());
 }
 
 // Within a day, a quarantined request crashes at most three more endpoints.
@@ -115,7 +115,7 @@
     const Time end = now + hours(24);
     for (std::size_t n = 3; now < end; now += seconds(20)) {
         quarantine.expire(now);
-        if (quarantine.left(Poison, now) > Duration::zero())
+        if (quarantine.remaining(Poison, now) > Duration::zero())
             continue;
         quarantine.aborted(aborted_late(Poison), endpoint(n++), now);
         ++more;
@@ -138,7 +138,7 @@
     for (std::uint64_t n = 0; n < 10000; ++n)
         quarantine.aborted(aborted_late({n, 77}), endpoint(n), last + milliseconds(n));
     EXPECT_LE(quarantine.size(), 4096u);
-    EXPECT_GT(quarantine.left(Poison, last), Duration::zero());
+    EXPECT_GT(quarantine.remaining(Poison, last), Duration::zero());
 }
 
 TEST(Quarantine, ReportsOnlyRequestsThatCrashedMoreThanOneEndpoint) {
@@ -150,7 +150,7 @@
     Quarantine newcomer;
     EXPECT_TRUE(newcomer.merge(report.front(), last));
     EXPECT_FALSE(newcomer.merge(report.front(), last));
-    EXPECT_EQ(newcomer.left(Poison, last), quarantine.left(Poison, last));
+    EXPECT_EQ(newcomer.remaining(Poison, last), quarantine.remaining(Poison, last));
 }
 
 // Each entry host sees some of the crashes and reports them to all control hosts.
@@ -171,9 +171,9 @@
         quarantine.aborted(aborted_late(Poison), endpoint(which), now);
         quarantine.aborted(aborted_late({which / 2, 9}), endpoint(which), now);
     }
-    RC_ASSERT(quarantine.left(Poison, now) > Duration::zero());
+    RC_ASSERT(quarantine.remaining(Poison, now) > Duration::zero());
     for (std::uint64_t n = 0; n < ends; ++n)
-        RC_ASSERT(quarantine.left({n, 9}, now) == Duration::zero());
+        RC_ASSERT(quarantine.remaining({n, 9}, now) == Duration::zero());
 }
 
 // Two hosts that exchange their records converge.
@@ -185,13 +185,13 @@
         const bool at_a = *rc::gen::arbitrary<bool>();
         (at_a ? a : b).aborted(aborted_late(Poison), endpoint(n), now);
         const bool exchanges = *rc::gen::arbitrary<bool>();
-        if (exchanges && a.suspicion(Poison, now).ends > 0)
-            b.merge(a.suspicion(Poison, now), now);
+        if (exchanges && a.suspect_request(Poison, now).crashes > 0)
+            b.merge(a.suspect_request(Poison, now), now);
     }
-    b.merge(a.suspicion(Poison, now), now);
-    a.merge(b.suspicion(Poison, now), now);
-    RC_ASSERT(a.left(Poison, now) == b.left(Poison, now));
-    RC_ASSERT(a.suspicion(Poison, now).ends == b.suspicion(Poison, now).ends);
+    b.merge(a.suspect_request(Poison, now), now);
+    a.merge(b.suspect_request(Poison, now), now);
+    RC_ASSERT(a.remaining(Poison, now) == b.remaining(Poison, now));
+    RC_ASSERT(a.suspect_request(Poison, now).crashes == b.suspect_request(Poison, now).crashes);
 }
 
 TEST(Fingerprint, IsTheSameForTheSameRequestAndNoOther) {
--- a/tests/unit/registry_test.cpp
+++ b/tests/unit/registry_test.cpp
@@ -196,7 +196,7 @@
 // A restored endpoint is replaced at once. It is not marked as gone, since it may be the live one.
 TEST(DelayedReport, ARestoredEndpointIsReplaced) {
     Registry registry;
-    ASSERT_TRUE(registry.remember(report_of("remembered", 0), Start));
+    ASSERT_TRUE(registry.add_cached(report_of("remembered", 0), Start));
     EXPECT_TRUE(registry.merge(report_of("heard", 1), Start));
     EXPECT_TRUE(serves(registry, "heard"));
     EXPECT_EQ(registry.find("remembered"), nullptr);
@@ -230,7 +230,7 @@
             registry.forget(id);
             break;
         case 2:
-            registry.remember(report, now);
+            registry.add_cached(report, now);
             break;
         case 3:
             registry.expire(now + seconds(*rc::gen::inRange(0, 200)));
--- a/tests/unit/state_test.cpp
+++ b/tests/unit/state_test.cpp
@@ -265,7 +265,7 @@
     for (const KeySpec& key : key_table()) {
         if (key.type == ValueType::Digest)
             continue;
-        const auto value = parse_json(key.fallback);
+        const auto value = parse_json(key.default_value);
         ASSERT_TRUE(value) << key.pattern;
         std::string name(key.pattern);
         if (const auto star = name.find('*'); star != std::string::npos)
--- a/tests/unit/heldback_test.cpp
+++ b/tests/unit/throttledendpoint_test.cpp
@@ -110,8 +110,8 @@
 }
 
 TEST_P(ThrottledEndpoint, LeavingEndpointIsExcludedForGoodButItsNextIncarnationIsNot) {
-    EXPECT_TRUE(directory.note_leaving(first.id, Start));
-    EXPECT_FALSE(directory.note_leaving(first.id, Start));
+    EXPECT_TRUE(directory.mark_leaving(first.id, Start));
+    EXPECT_FALSE(directory.mark_leaving(first.id, Start));
     directory.registry().forget(first.id);
     directory.expire(Start + seconds(30));
     directory.registry().merge(first, Start + seconds(30));
