--- a/tests/unit/quarantine_test.cpp
+++ b/tests/unit/quarantine_test.cpp
@@ -46,7 +46,7 @@
     EXPECT_TRUE(quarantine.aborted(aborted_late(Poison), endpoint(2), Start + seconds(2)));
     EXPECT_GT(quarantine.remaining(Poison, Start + seconds(2)), minutes(9));
     EXPECT_EQ(quarantine.remaining(Other, Start + seconds(2)), Duration::zero());
-    EXPECT_EQ(quarantine.held(Start + seconds(2)), 1u);
+    EXPECT_EQ(quarantine.quarantined_count(Start + seconds(2)), 1u);
 }
 
 TEST(Quarantine, CountsACrashOnceWhicheverHostReportsIt) {
